--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -15,8 +15,8 @@
     ReportWanted,
 )
 from saffronworks.forwarding.planning.order import Waiter, WaiterOrder
+from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
-from saffronworks.forwarding.planning.reading import ReadingPlan
 from saffronworks.forwarding.planning.runs import Occupancies, Occupancy, Run, projected_peak
 from saffronworks.forwarding.planning.shuns import ShunTable
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.forwarding.planning import core, messages, plans, runs
-from saffronworks.forwarding.planning.reading import ReadingPlan
+from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
     HEAR_MS,
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -13,8 +13,8 @@
 import attrs
 
 from saffronworks.forwarding.planning import core, messages
+from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
-from saffronworks.forwarding.planning.reading import ReadingPlan
 from saffronworks.forwarding.planning.tuning import (
     ASK_AGAIN_MS,
     PLAN_EVERY_MS,
--- a/saffronworks/tests/share_load.py
+++ b/saffronworks/tests/share_load.py
@@ -7,7 +7,7 @@
 import attrs
 
 from saffronworks.forwarding.planning import core, messages
-from saffronworks.forwarding.planning.reading import ReadingPlan
+from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.tuning import PLAN_EVERY_MS, REPORT_EVERY_MS
 
 START_MS = 10_000
