--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.reader_queues import ReaderQueue, ReadingPace
+from saffronworks.forwarding.planning.prefill_queues import ReaderQueue, ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     AWAY_READER_MS,
     OWN_READ_FACTOR,
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -6,7 +6,7 @@
 
 from saffronworks.forwarding.planning import core, messages, runs
 from saffronworks.forwarding.planning.prefill import ReadingPlan
-from saffronworks.forwarding.planning.reader_queues import ReadingPace
+from saffronworks.forwarding.planning.prefill_queues import ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     QUIET_RUN_MS,
     READ_MS_PER_TOKEN,
