--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -4,6 +4,7 @@
 
 import attrs
 
+from saffronworks.forwarding.planning.ejections import ShunTable
 from saffronworks.forwarding.planning.fair_shares import FairShares
 from saffronworks.forwarding.planning.lengths import AnswerLengths
 from saffronworks.forwarding.planning.messages import (
@@ -18,7 +19,6 @@
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.runs import Occupancies, Occupancy, Run, projected_peak
-from saffronworks.forwarding.planning.shuns import ShunTable
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
 from saffronworks.forwarding.planning.tuning import (
     HEAR_MS,
