--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -5,9 +5,9 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.ask_rates import AskRates
 from saffronworks.forwarding.planning.messages import MemoryAsk
 from saffronworks.forwarding.planning.priorities import clip_rank
+from saffronworks.forwarding.planning.request_rates import AskRates
 from saffronworks.forwarding.planning.tuning import LOOKS_OF_PASSED
 
 __all__ = ["Excess", "Waiter", "WaiterOrder", "count_by_priority"]
--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.ask_rates import AskRates
 from saffronworks.forwarding.planning.order import Waiter
+from saffronworks.forwarding.planning.request_rates import AskRates
 from saffronworks.forwarding.planning.runs import Occupancies
 from saffronworks.forwarding.planning.tuning import (
     KEPT_SHARE,
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -12,9 +12,9 @@
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.figures import Figures
 from saffronworks.forwarding.planning import core, messages
-from saffronworks.forwarding.planning.ask_rates import AskRates
 from saffronworks.forwarding.planning.order import Waiter, WaiterOrder
 from saffronworks.forwarding.planning.plans import Reply
+from saffronworks.forwarding.planning.request_rates import AskRates
 from saffronworks.forwarding.planning.reserves import Reserve
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.service import MemoryPlanner
