--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -23,7 +23,7 @@
 )
 from saffronworks.forwarding.planning.plans import Message, Occupancies, PlanState, Reply, Waiter
 from saffronworks.forwarding.planning.priorities import clip_rank
-from saffronworks.forwarding.planning.refusals import ends_per_s, refuse
+from saffronworks.forwarding.planning.rejections import ends_per_s, refuse
 from saffronworks.forwarding.planning.reserves import Reserve
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -3,7 +3,7 @@
 import contextlib
 from unittest.mock import patch
 
-from saffronworks.forwarding.planning import core, refusals
+from saffronworks.forwarding.planning import core, rejections
 from saffronworks.forwarding.planning.messages import MemoryRefusal
 from saffronworks.forwarding.planning.order import WaiterOrder
 from saffronworks.forwarding.planning.plans import Reply
@@ -26,7 +26,7 @@
     pending = [w for w in state.waiters.values() if not w.decided]
     if all(now_ms - waiter.arrived_ms < DECIDE_AFTER_MS for waiter in pending):
         return []
-    per_s, usable = refusals.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
+    per_s, usable = rejections.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     own_readers = state.own_readers(usable)
     reading_at_ms = now_ms + state.reading.wait_ms(own_readers, now_ms)
     replies, before = [], 0
