--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -8,8 +8,8 @@
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
     DECIDE_SHARE,
+    FIRST_TOKEN_MS,
     OVERLOAD_LASTS_MS,
-    READ_MS,
     RETURN_SHARE,
 )
 from saffronworks.forwarding.starts import StartId
@@ -27,7 +27,9 @@
     The rate of the latest grants is no forecast: while memory fills at the start of a burst it is
     higher, but no run ends for that.
     """
-    run_ms = [READ_MS + run.likely_tokens * state.ms_per_token for run in state.runs.values()]
+    run_ms = [
+        FIRST_TOKEN_MS + run.likely_tokens * state.ms_per_token for run in state.runs.values()
+    ]
     if not run_ms:
         return 1.0
     return max(1.0, _endpoints_pace(state, now_ms) * 1000 * len(run_ms) ** 2 / sum(run_ms))
--- a/saffronworks/forwarding/planning/runs.py
+++ b/saffronworks/forwarding/planning/runs.py
@@ -5,8 +5,8 @@
 from saffronworks.forwarding.planning.lengths import AnswerLengths
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.tuning import (
+    FIRST_TOKEN_MS,
     MS_PER_TOKEN,
-    READ_MS,
     REPORT_LAPSE_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -46,7 +46,7 @@
     def _made(self, ms_per_token: float, now_ms: int) -> float:
         """Tokens of the answer by now: as reported, and what came since then at that pace."""
         if not self.made_tokens:
-            return max(0.0, (now_ms - self.began_ms - READ_MS) / ms_per_token)
+            return max(0.0, (now_ms - self.began_ms - FIRST_TOKEN_MS) / ms_per_token)
         since_ms = min(now_ms - self.made_ms, REPORT_LAPSE_MS)
         return self.made_tokens + since_ms / ms_per_token
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -39,7 +39,7 @@
 # equally full, and the fastest of them is chosen.
 NEAR_PEAK_SHARE = 0.03
 # From a grant to the first token: the reservation, the reading, the move.
-READ_MS = 200
+FIRST_TOKEN_MS = 200
 # Time that a prompt token occupies its reader until readers have been seen busy: 0.018 and 0.030 ms
 # on two kinds of engines.
 READ_MS_PER_TOKEN = 0.02
