--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -4,8 +4,8 @@
 
 from saffronworks.forwarding.planning.tuning import (
     PACE_PRIOR_TOKENS,
+    PREFILL_MS_PER_TOKEN,
     READ_CALL_MS,
-    READ_MS_PER_TOKEN,
     READ_OVERDUE_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -21,7 +21,7 @@
     """Running sums of tokens that were read and of the time that it took; old ones fade."""
 
     tokens: float = PACE_PRIOR_TOKENS
-    busy_ms: float = PACE_PRIOR_TOKENS * READ_MS_PER_TOKEN
+    busy_ms: float = PACE_PRIOR_TOKENS * PREFILL_MS_PER_TOKEN
 
     def add(self, tokens: int, busy_ms: float) -> None:
         self.tokens = (1 - SAMPLE_WEIGHT) * self.tokens + tokens
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -42,7 +42,7 @@
 FIRST_TOKEN_MS = 200
 # Time that a prompt token occupies its reader until readers have been seen busy: 0.018 and 0.030 ms
 # on two kinds of engines.
-READ_MS_PER_TOKEN = 0.02
+PREFILL_MS_PER_TOKEN = 0.02
 # That counts like so many tokens that were read: four prompts.
 PACE_PRIOR_TOKENS = 15_000
 # From a grant to the reader, and from there to the planner: a prompt granted later than this
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -8,8 +8,8 @@
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.prefill_queues import ReadingPace
 from saffronworks.forwarding.planning.tuning import (
+    PREFILL_MS_PER_TOKEN,
     QUIET_RUN_MS,
-    READ_MS_PER_TOKEN,
     SHUN_MS,
 )
 
@@ -77,7 +77,7 @@
     pace = ReadingPace()
     for _ in range(5000):
         pace.learn("p0", 0, 20)
-    assert pace.of("p0") == pace.ms_per_token == READ_MS_PER_TOKEN
+    assert pace.of("p0") == pace.ms_per_token == PREFILL_MS_PER_TOKEN
 
 
 def run_report(instance, made_tokens, quiet_ms=0):
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -16,7 +16,7 @@
     OWN_READ_FACTOR,
     OWN_READ_GAP_MS,
     OWN_READ_MEMORY_SHARE,
-    READ_MS_PER_TOKEN,
+    PREFILL_MS_PER_TOKEN,
     REPORT_EVERY_MS,
     REPORT_LAPSE_MS,
     SHUN_MS,
@@ -225,7 +225,7 @@
         )
     early = len(names)
     assert 1 < early < 6, names
-    now_ms = START_MS + int(2 * 5000 * READ_MS_PER_TOKEN)
+    now_ms = START_MS + int(2 * 5000 * PREFILL_MS_PER_TOKEN)
     names += granted(core.step(plan, core.Tick(), {"d0": "z"}, now_ms))
     assert [grant.request_id for grant in names[early:]][0] == "r5", names
 
@@ -265,7 +265,7 @@
         names += granted(core.step(plan, ask(f"r{index}"), decoders, START_MS))
     assert sorted(grant.instance for grant in names) == ["d0", "d1"], names
     assert all(grant.reader == grant.instance for grant in names)
-    later_ms = START_MS + int(OWN_READ_FACTOR * READ_MS_PER_TOKEN * 5000 + OWN_READ_GAP_MS) + 1
+    later_ms = START_MS + int(OWN_READ_FACTOR * PREFILL_MS_PER_TOKEN * 5000 + OWN_READ_GAP_MS) + 1
     assert len(granted(core.step(plan, core.Tick(), decoders, later_ms))) == 2
 
 
