--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -3,8 +3,8 @@
 import attrs
 
 from saffronworks.forwarding.planning.tuning import (
-    PACE_PRIOR_TOKENS,
     PREFILL_MS_PER_TOKEN,
+    PREFILL_PRIOR_TOKENS,
     READ_CALL_MS,
     READ_OVERDUE_MS,
 )
@@ -20,8 +20,8 @@
 class _Busy:
     """Running sums of tokens that were read and of the time that it took; old ones fade."""
 
-    tokens: float = PACE_PRIOR_TOKENS
-    busy_ms: float = PACE_PRIOR_TOKENS * PREFILL_MS_PER_TOKEN
+    tokens: float = PREFILL_PRIOR_TOKENS
+    busy_ms: float = PREFILL_PRIOR_TOKENS * PREFILL_MS_PER_TOKEN
 
     def add(self, tokens: int, busy_ms: float) -> None:
         self.tokens = (1 - SAMPLE_WEIGHT) * self.tokens + tokens
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -44,7 +44,7 @@
 # on two kinds of engines.
 PREFILL_MS_PER_TOKEN = 0.02
 # That counts like so many tokens that were read: four prompts.
-PACE_PRIOR_TOKENS = 15_000
+PREFILL_PRIOR_TOKENS = 15_000
 # From a grant to the reader, and from there to the planner: a prompt granted later than this
 # before another one was back may have reached the reader when that was idle.
 READ_CALL_MS = 30
