--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -3,9 +3,9 @@
 import attrs
 
 from saffronworks.forwarding.planning.tuning import (
+    PREFILL_CALL_MS,
     PREFILL_MS_PER_TOKEN,
     PREFILL_PRIOR_TOKENS,
-    READ_CALL_MS,
     READ_OVERDUE_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -123,7 +123,7 @@
         if prompt is None:
             return
         if request_id == first:
-            if self._since_ms is not None and prompt.granted_ms + READ_CALL_MS < self._since_ms:
+            if self._since_ms is not None and prompt.granted_ms + PREFILL_CALL_MS < self._since_ms:
                 pace.learn(reader, self._passed_tokens + prompt.tokens, now_ms - self._since_ms)
             self._since_ms, self._passed_tokens = now_ms, 0
         else:
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -47,7 +47,7 @@
 PREFILL_PRIOR_TOKENS = 15_000
 # From a grant to the reader, and from there to the planner: a prompt granted later than this
 # before another one was back may have reached the reader when that was idle.
-READ_CALL_MS = 30
+PREFILL_CALL_MS = 30
 # A prompt that is not back this long after its time is no longer counted on: word of it was lost,
 # or its run shows in the next report.
 READ_OVERDUE_MS = 400
