--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -5,8 +5,8 @@
 from saffronworks.forwarding.planning.tuning import (
     PREFILL_CALL_MS,
     PREFILL_MS_PER_TOKEN,
+    PREFILL_OVERDUE_MS,
     PREFILL_PRIOR_TOKENS,
-    READ_OVERDUE_MS,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -132,7 +132,7 @@
         self.free_at_ms = now_ms + waiting_tokens * pace.of(reader)
 
     def _forget_lost(self, now_ms: int) -> None:
-        overdue_ms = now_ms - READ_OVERDUE_MS
+        overdue_ms = now_ms - PREFILL_OVERDUE_MS
         for request_id, prompt in list(self._prompts.items()):
             if prompt.due_ms >= overdue_ms:
                 return
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -50,7 +50,7 @@
 PREFILL_CALL_MS = 30
 # A prompt that is not back this long after its time is no longer counted on: word of it was lost,
 # or its run shows in the next report.
-READ_OVERDUE_MS = 400
+PREFILL_OVERDUE_MS = 400
 # No place is granted while the endpoints that read are foreseen to be busy for longer: in bursts
 # one reader took 300 to 970 ms for a prompt while its memory lay idle, and all were late. Beyond
 # that decode endpoints read, see OWN_READ_MEMORY_SHARE.
