--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -8,9 +8,9 @@
 from saffronworks.forwarding.planning.prefill_queues import ReaderQueue, ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     AWAY_READER_MS,
+    MAX_PREFILL_BACKLOG_MS,
     OWN_READ_FACTOR,
     OWN_READ_GAP_MS,
-    READ_BACKLOG_MS,
 )
 from saffronworks.forwarding.starts import StartId
 
@@ -58,7 +58,7 @@
         """How long until a reader is free soon enough; for ever without any."""
         if not self.readers:
             return math.inf
-        return max(0.0, self.readers_free_in_ms(now_ms) - READ_BACKLOG_MS)
+        return max(0.0, self.readers_free_in_ms(now_ms) - MAX_PREFILL_BACKLOG_MS)
 
     def readers_free_in_ms(self, now_ms: int) -> float:
         """How long until the first reader has read all it has before it; 0 without any."""
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -54,7 +54,7 @@
 # No place is granted while the endpoints that read are foreseen to be busy for longer: in bursts
 # one reader took 300 to 970 ms for a prompt while its memory lay idle, and all were late. Beyond
 # that decode endpoints read, see OWN_READ_MEMORY_SHARE.
-READ_BACKLOG_MS = 250
+MAX_PREFILL_BACKLOG_MS = 250
 # How much later a reader in the decode endpoint's own zone may be free than one elsewhere: a move
 # between zones takes twice as long and is priced higher.
 AWAY_READER_MS = 60
