--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding.planning.prefill_queues import ReaderQueue, ReadingPace
 from saffronworks.forwarding.planning.tuning import (
-    AWAY_READER_MS,
+    CROSS_ZONE_PENALTY_MS,
     MAX_PREFILL_BACKLOG_MS,
     OWN_READ_FACTOR,
     OWN_READ_GAP_MS,
@@ -39,7 +39,7 @@
         """The reader that is done first, a nearer one if it is hardly later; there must be one."""
 
         def cost(reader: StartId) -> tuple[float, StartId]:
-            away_ms = 0.0 if self.readers[reader] == zone else AWAY_READER_MS
+            away_ms = 0.0 if self.readers[reader] == zone else CROSS_ZONE_PENALTY_MS
             done_ms = self.backlog_ms(reader, now_ms) + self.read_ms(reader, prompt_tokens)
             return done_ms + away_ms, reader
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -57,7 +57,7 @@
 MAX_PREFILL_BACKLOG_MS = 250
 # How much later a reader in the decode endpoint's own zone may be free than one elsewhere: a move
 # between zones takes twice as long and is priced higher.
-AWAY_READER_MS = 60
+CROSS_ZONE_PENALTY_MS = 60
 # A decode endpoint that must read by itself takes twice as long, and its runs get hardly a token
 # meanwhile: 5,200 tokens hold them up for 190 ms, and a pause of 300 ms makes them late. So it
 # reads one prompt at a time, and rests after it.
