--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -22,11 +22,11 @@
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
 from saffronworks.forwarding.planning.tuning import (
     HEAR_MS,
+    LOCAL_PREFILL_MEMORY_SHARE,
     MARGIN_ANSWERS,
     MOST_MARGIN_SHARE,
     MS_PER_TOKEN,
     NEAR_PEAK_SHARE,
-    OWN_READ_MEMORY_SHARE,
     WARM_UP_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -134,7 +134,7 @@
     @property
     def own_read_share(self) -> float:
         """Up to which share of its planned memory a decode endpoint reads by itself."""
-        return OWN_READ_MEMORY_SHARE if self.reading.readers else 1.0
+        return LOCAL_PREFILL_MEMORY_SHARE if self.reading.readers else 1.0
 
     def own_readers(self, usable: Occupancies) -> list[StartId]:
         """The decode endpoints that have the memory to read by themselves."""
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -8,9 +8,9 @@
 from saffronworks.forwarding.planning.prefill_queues import ReaderQueue, ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     CROSS_ZONE_PENALTY_MS,
+    LOCAL_PREFILL_FACTOR,
+    LOCAL_PREFILL_GAP_MS,
     MAX_PREFILL_BACKLOG_MS,
-    OWN_READ_FACTOR,
-    OWN_READ_GAP_MS,
 )
 from saffronworks.forwarding.starts import StartId
 
@@ -68,7 +68,7 @@
         """How long this endpoint is busy with a prompt."""
         if instance in self.readers:
             return prompt_tokens * self.pace.of(instance)
-        return OWN_READ_FACTOR * prompt_tokens * self.pace.ms_per_token + OWN_READ_GAP_MS
+        return LOCAL_PREFILL_FACTOR * prompt_tokens * self.pace.ms_per_token + LOCAL_PREFILL_GAP_MS
 
     def turn_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
         """How much later the next prompt is read when this one goes before it."""
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -53,7 +53,7 @@
 PREFILL_OVERDUE_MS = 400
 # No place is granted while the endpoints that read are foreseen to be busy for longer: in bursts
 # one reader took 300 to 970 ms for a prompt while its memory lay idle, and all were late. Beyond
-# that decode endpoints read, see OWN_READ_MEMORY_SHARE.
+# that decode endpoints read, see LOCAL_PREFILL_MEMORY_SHARE.
 MAX_PREFILL_BACKLOG_MS = 250
 # How much later a reader in the decode endpoint's own zone may be free than one elsewhere: a move
 # between zones takes twice as long and is priced higher.
@@ -61,14 +61,14 @@
 # A decode endpoint that must read by itself takes twice as long, and its runs get hardly a token
 # meanwhile: 5,200 tokens hold them up for 190 ms, and a pause of 300 ms makes them late. So it
 # reads one prompt at a time, and rests after it.
-OWN_READ_FACTOR = 2.0
-OWN_READ_GAP_MS = 150
+LOCAL_PREFILL_FACTOR = 2.0
+LOCAL_PREFILL_GAP_MS = 150
 # While there are readers, such a prompt may bring an endpoint's foreseen peak to this share of its
 # planned memory at most: nine runs stand still for the 94 ms of the reading and hold their memory
 # for longer, together a third of a run's time. That costs nothing while nobody waits for memory.
 # Calm days of two sites (two seeds) by share 0.7, 0.85, 1.0 and none at all: 0.839, 0.835, 0.778,
 # 0.843 where memory binds, 0.842, 0.854, 0.858, 0.732 (three seeds) where reading binds as well.
-OWN_READ_MEMORY_SHARE = 0.7
+LOCAL_PREFILL_MEMORY_SHARE = 0.7
 # From a grant to the first event when the readers are that busy.
 IN_TIME_MS = 400
 # Spread of answers about the hints of their lengths, as the logarithm's deviation, until answers
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -11,11 +11,11 @@
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
     HEAR_MS,
+    LOCAL_PREFILL_FACTOR,
+    LOCAL_PREFILL_GAP_MS,
+    LOCAL_PREFILL_MEMORY_SHARE,
     MARGIN_ANSWERS,
     MOST_MARGIN_SHARE,
-    OWN_READ_FACTOR,
-    OWN_READ_GAP_MS,
-    OWN_READ_MEMORY_SHARE,
     PREFILL_MS_PER_TOKEN,
     REPORT_EVERY_MS,
     REPORT_LAPSE_MS,
@@ -209,7 +209,7 @@
     plan = warm_plan()
     plan.reading.readers = {"p0": "z"}
     plan.reading.count("busy", "p0", 100_000, START_MS)
-    taken = int((OWN_READ_MEMORY_SHARE + 0.05) * plan.limit_tokens)
+    taken = int((LOCAL_PREFILL_MEMORY_SHARE + 0.05) * plan.limit_tokens)
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
     core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS)
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + DECIDE_AFTER_MS)
@@ -265,13 +265,17 @@
         names += granted(core.step(plan, ask(f"r{index}"), decoders, START_MS))
     assert sorted(grant.instance for grant in names) == ["d0", "d1"], names
     assert all(grant.reader == grant.instance for grant in names)
-    later_ms = START_MS + int(OWN_READ_FACTOR * PREFILL_MS_PER_TOKEN * 5000 + OWN_READ_GAP_MS) + 1
+    later_ms = (
+        START_MS
+        + int(LOCAL_PREFILL_FACTOR * PREFILL_MS_PER_TOKEN * 5000 + LOCAL_PREFILL_GAP_MS)
+        + 1
+    )
     assert len(granted(core.step(plan, core.Tick(), decoders, later_ms))) == 2
 
 
 @then("while readers are busy a decode endpoint reads by itself only if much of its memory is free")
 def reads_with_free_memory(context):
-    for taken_share, grants in ((0.4, 1), (OWN_READ_MEMORY_SHARE, 0)):
+    for taken_share, grants in ((0.4, 1), (LOCAL_PREFILL_MEMORY_SHARE, 0)):
         plan = warm_plan()
         plan.reading.readers = {"p0": "z"}
         plan.reading.count("busy", "p0", 50_000, START_MS)
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -158,7 +158,7 @@
     for _, outcomes in context.plays:
         own = [o for o in outcomes if o.instance and o.instance == o.reader]
         assert len(own) > 5, len(own)
-    with patch.object(plans, "OWN_READ_MEMORY_SHARE", 0.0):
+    with patch.object(plans, "LOCAL_PREFILL_MEMORY_SHARE", 0.0):
         without = play(ENGINES_WITH_LITTLE_MEMORY, BURST)
     assert count_in_time(context.plays) > count_in_time(without)
 
