--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -29,7 +29,7 @@
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
 from saffronworks.forwarding.planning.tuning import (
     FULL_MS,
-    MOST_SLOWER,
+    MAX_SLOWDOWN,
     QUEUE_LOOK,
     QUIET_RUN_MS,
     REPORT_LAPSE_MS,
@@ -167,7 +167,7 @@
         state.speeds.learn_run(run.instance, event.answer_tokens, event.stream_ms, now_ms)
     if is_plausible_pace(event.answer_tokens, event.stream_ms):
         seen = event.stream_ms / event.answer_tokens
-        seen = min(seen, MOST_SLOWER * state.ms_per_token)
+        seen = min(seen, MAX_SLOWDOWN * state.ms_per_token)
         state.ms_per_token += SAMPLE_WEIGHT * (seen - state.ms_per_token)
 
 
--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -11,8 +11,8 @@
     COUNT_RUNS_EVERY_MS,
     LOAD_DECAY,
     LOAD_PRIOR,
+    MAX_SLOWDOWN,
     MOST_LOAD_SLOPE,
-    MOST_SLOWER,
     MOST_SPEEDS,
     PLAUSIBLE_MS_PER_TOKEN,
     SPEED_BAND,
@@ -213,4 +213,4 @@
 
 def _clip(ratio: float) -> float:
     """A sample's multiple of what is known, bounded so that an outlier counts little."""
-    return min(MOST_SLOWER, max(1 / MOST_SLOWER, ratio))
+    return min(MAX_SLOWDOWN, max(1 / MAX_SLOWDOWN, ratio))
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -3,7 +3,7 @@
 # Time for one token until runs have been seen; measured on one site at nine runs.
 MS_PER_TOKEN = 0.8
 # A run counts as this much slower at most: one that stood still says nothing about the others.
-MOST_SLOWER = 2.0
+MAX_SLOWDOWN = 2.0
 # Shorter or longer times for a token are no times of an engine, but faults of a report.
 PLAUSIBLE_MS_PER_TOKEN = (0.01, 200.0)
 # What is known of an endpoint's speed returns to the average with this half-life while its runs
