--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -12,8 +12,8 @@
     LOAD_DECAY,
     LOAD_PRIOR,
     MAX_SLOWDOWN,
+    MAX_SPEEDS,
     MOST_LOAD_SLOPE,
-    MOST_SPEEDS,
     PLAUSIBLE_MS_PER_TOKEN,
     SPEED_BAND,
     SPEED_FRESH_MS,
@@ -164,7 +164,7 @@
         """What is known of an endpoint; None if there is no room for another one."""
         if not self._average:
             self._average, self._average_runs = seen, float(runs)
-        if instance not in self._speeds and len(self._speeds) < MOST_SPEEDS:
+        if instance not in self._speeds and len(self._speeds) < MAX_SPEEDS:
             level = self._average * math.exp(self.load_slope * (runs - self._average_runs))
             self._speeds[instance] = _Speed(1.0, float(runs), level, now_ms)
         return self._speeds.get(instance)
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -29,7 +29,7 @@
 # reports a second would cost a hundredth of a core.
 COUNT_RUNS_EVERY_MS = 100
 # Endpoints of one service whose speeds are kept: reports could name any number.
-MOST_SPEEDS = 1024
+MAX_SPEEDS = 1024
 # Log lines on speeds: for a change of the factor by this logarithm, so many in a second, looked for
 # so often: after each of 1000 events a second it would cost several hundredths of a core.
 SPEED_NEWS_STEP = 0.25
