--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -11,9 +11,9 @@
     COUNT_RUNS_EVERY_MS,
     LOAD_DECAY,
     LOAD_PRIOR,
+    MAX_LOAD_SLOPE,
     MAX_SLOWDOWN,
     MAX_SPEEDS,
-    MOST_LOAD_SLOPE,
     PLAUSIBLE_MS_PER_TOKEN,
     SPEED_BAND,
     SPEED_FRESH_MS,
@@ -85,7 +85,7 @@
     @property
     def load_slope(self) -> float:
         """By which share one more run on an engine lengthens its time for a token."""
-        return min(MOST_LOAD_SLOPE, max(0.0, self._covariance / self._run_variance))
+        return min(MAX_LOAD_SLOPE, max(0.0, self._covariance / self._run_variance))
 
     def factor(self, instance: StartId, now_ms: int) -> float:
         """Multiple of the average time for a token; 1 for an endpoint that is not known to differ.
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -24,7 +24,7 @@
 # is none (in squared runs), the decay of earlier samples, and the most that one run adds.
 LOAD_PRIOR = 2.0
 LOAD_DECAY = 0.02
-MOST_LOAD_SLOPE = 0.1
+MAX_LOAD_SLOPE = 0.1
 # How often the runs of each endpoint are counted for that: a look at all runs at each of 200
 # reports a second would cost a hundredth of a core.
 COUNT_RUNS_EVERY_MS = 100
