--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -24,7 +24,7 @@
     HEAR_MS,
     LOCAL_PREFILL_MEMORY_SHARE,
     MARGIN_ANSWERS,
-    MOST_MARGIN_SHARE,
+    MAX_MARGIN_SHARE,
     MS_PER_TOKEN,
     NEAR_PEAK_SHARE,
     WARM_UP_MS,
@@ -102,7 +102,7 @@
     def limit_tokens(self) -> float:
         """What foreseen peaks of an endpoint may take."""
         margin_tokens = MARGIN_ANSWERS * self.usual_tokens
-        return self.capacity_tokens - min(margin_tokens, MOST_MARGIN_SHARE * self.capacity_tokens)
+        return self.capacity_tokens - min(margin_tokens, MAX_MARGIN_SHARE * self.capacity_tokens)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of endpoints that are gone."""
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -91,7 +91,7 @@
 # Weight of the newest ask in the usual length: lengths differ by several times.
 USUAL_WEIGHT = 0.05
 # But no more than this share is left free.
-MOST_MARGIN_SHARE = 0.4
+MAX_MARGIN_SHARE = 0.4
 # How often one request asks the planner: its place may be gone when it comes to reserve it.
 MOST_PLANS = 4
 # Part of the likely answer that a planned run reserves; the plan provides for the rest.
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -15,7 +15,7 @@
     LOCAL_PREFILL_GAP_MS,
     LOCAL_PREFILL_MEMORY_SHARE,
     MARGIN_ANSWERS,
-    MOST_MARGIN_SHARE,
+    MAX_MARGIN_SHARE,
     PREFILL_MS_PER_TOKEN,
     REPORT_EVERY_MS,
     REPORT_LAPSE_MS,
@@ -129,7 +129,7 @@
         plan = core.PlanState(0, capacity, SLOTS, usual_tokens=4000.0)
         assert capacity - plan.limit_tokens == MARGIN_ANSWERS * 4000
     plan = core.PlanState(0, 10_000, SLOTS, usual_tokens=4000.0)
-    assert plan.limit_tokens == (1 - MOST_MARGIN_SHARE) * 10_000
+    assert plan.limit_tokens == (1 - MAX_MARGIN_SHARE) * 10_000
 
 
 @given("a plan whose only endpoint is full")
