--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding.eligibility.blocks import ALL_ELIGIBLE, Block, Eligibility
 from saffronworks.forwarding.messages import KvHandle, KvHold, PromptSize
 from saffronworks.forwarding.planning.tuning import (
-    MOST_PLANS,
+    MAX_PLAN_REQUESTS,
     PLANNED_RESERVE,
 )
 from saffronworks.forwarding.starts import StartId
@@ -90,7 +90,7 @@
     streams: int = 0
     out: Out = Out.NOTHING
     planned_tokens: int = 0
-    plans_left: int = MOST_PLANS
+    plans_left: int = MAX_PLAN_REQUESTS
     granted: StartId | None = None
     reader: StartId | None = None
     hold: KvHold | None = None
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -93,7 +93,7 @@
 # But no more than this share is left free.
 MAX_MARGIN_SHARE = 0.4
 # How often one request asks the planner: its place may be gone when it comes to reserve it.
-MOST_PLANS = 4
+MAX_PLAN_REQUESTS = 4
 # Part of the likely answer that a planned run reserves; the plan provides for the rest.
 PLANNED_RESERVE = 0.25
 # A caller who is to return is told so a little before a fifth of the target.
