--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -6,7 +6,7 @@
 
 from saffronworks.forwarding.planning.tuning import (
     HEARD_MS,
-    MOST_PASSES,
+    MAX_PASSES,
     RATE_WEIGHT,
     RATE_WINDOW_MS,
 )
@@ -63,8 +63,8 @@
         self._roll(now_ms)
         own = self._rates.get(priority)
         if own is None or not own.mean:
-            return MOST_PASSES
-        return max(MOST_PASSES, self._mean(priority) / own.mean)
+            return MAX_PASSES
+        return max(MAX_PASSES, self._mean(priority) / own.mean)
 
     def _mean(self, more_urgent_than: float) -> float:
         return sum(rate.mean for name, rate in self._rates.items() if name < more_urgent_than)
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -102,7 +102,7 @@
 QUEUE_LOOK = 8
 # Grants in succession that may go to more urgent waiters while a less urgent one waits that can be
 # in time: less urgent classes get one place in nine at the least.
-MOST_PASSES = 8
+MAX_PASSES = 8
 # Of the foremost waiters that are looked at, those of a priority that was passed over so often: the
 # others are left for the urgent, in case none of these fits.
 LOOKS_OF_PASSED = QUEUE_LOOK // 2
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
     HEARD_MS,
-    MOST_PASSES,
+    MAX_PASSES,
     PLAN_EVERY_MS,
 )
 from saffronworks.metrics import ForwardingMetrics
@@ -161,7 +161,7 @@
     turns = grant_in_turn(WaiterOrder(), waiters)
     for priority in (2, 9):
         at = [index for index, each in enumerate(turns) if each.priority == priority]
-        assert at[0] <= MOST_PASSES + 1 and at[1] - at[0] <= MOST_PASSES + 2, (priority, at)
+        assert at[0] <= MAX_PASSES + 1 and at[1] - at[0] <= MAX_PASSES + 2, (priority, at)
 
 
 @then("a class that asks seldom waits until it gets the share that urgent callers get")
@@ -181,13 +181,13 @@
 @then("waiters that fit nowhere keep no place from the urgent ones")
 def fits_nowhere(context):
     plan = warm_plan()
-    plan.order.passes[2] = MOST_PASSES
+    plan.order.passes[2] = MAX_PASSES
     for index in range(10):
         core.step(plan, ask(f"big{index}", 80_000, priority=2, avoid=("d0",)), DECODERS, START_MS)
     plan.runs.clear()
     for index in range(10):
         core.step(plan, ask(f"more{index}", 80_000, priority=2), {}, START_MS)
-    plan.order.passes[2] = MOST_PASSES
+    plan.order.passes[2] = MAX_PASSES
     core.step(plan, ask("fill", 40_000, 100, priority=0), {"d0": "z"}, START_MS)
     replies = core.step(plan, ask("urgent", 5000, 100, priority=0), {"d0": "z"}, START_MS)
     assert [grant.request_id for grant in granted(replies)] == ["urgent"], replies
@@ -342,7 +342,7 @@
 def passed_may_use(context):
     """Guards the bound against starvation: the reserve must not take the place that it gives."""
     plan, decoders = plan_with_room([4000, 20_000, 4000, 4000])
-    plan.order.passes[BULK] = MOST_PASSES
+    plan.order.passes[BULK] = MAX_PASSES
     assert ask_bulk(plan, decoders) == ["d1"]
 
 
