--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -65,7 +65,7 @@
     """In-time waiters before late ones; then by priority, the organisation's excess, time left.
 
     `passes` counts by priority the grants in succession that went to more urgent waiters while one
-    of that priority waited that could be in time; after `rates.most_passes` it is its turn.
+    of that priority waited that could be in time; after `rates.max_passes` it is its turn.
     """
 
     excess: Excess = _no_excess
@@ -107,7 +107,7 @@
     def _due(self, passes: dict[int, int], waiting: Collection[int], now_ms: int) -> int | None:
         """The priority that was passed over most often, if that was too often."""
         counted = [name for name in sorted(waiting) if name in passes]
-        due = [name for name in counted if passes[name] >= self.rates.most_passes(name, now_ms)]
+        due = [name for name in counted if passes[name] >= self.rates.max_passes(name, now_ms)]
         return max(due, key=lambda name: passes[name], default=None)
 
     def _split(self, waiters: Iterable[Waiter], now_ms: int) -> tuple[_Lines, list[Waiter]]:
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -101,8 +101,8 @@
     """
     if not state.order.rates.is_mixed(now_ms):
         return per_s
-    most_passes = state.order.rates.most_passes(priority, now_ms)
-    return max(per_s - state.order.rates.per_s(priority, now_ms), per_s / (most_passes + 1))
+    max_passes = state.order.rates.max_passes(priority, now_ms)
+    return max(per_s - state.order.rates.per_s(priority, now_ms), per_s / (max_passes + 1))
 
 
 def _wait_ms(
@@ -121,8 +121,8 @@
     if state.order.rates.is_mixed(now_ms):
         left_per_s -= state.order.rates.per_s(waiter.priority, now_ms)
     in_order_ms = 1000 * (before.total() + 1) / left_per_s if left_per_s > 0 else math.inf
-    most_passes = state.order.rates.most_passes(waiter.priority, now_ms)
-    in_turn_ms = 1000 * (before[waiter.priority] + 1) * (most_passes + 1) / per_s
+    max_passes = state.order.rates.max_passes(waiter.priority, now_ms)
+    in_turn_ms = 1000 * (before[waiter.priority] + 1) * (max_passes + 1) / per_s
     wait_ms = min(in_order_ms, max(in_turn_ms, 1000 * (before.total() + 1) / per_s))
     if now_ms + wait_ms <= waiter.in_time_until_ms or not state.order.rates.is_mixed(now_ms):
         return wait_ms
--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -55,7 +55,7 @@
         self._roll(now_ms)
         return self._mean(more_urgent_than) * 1000 / RATE_WINDOW_MS
 
-    def most_passes(self, priority: int, now_ms: int) -> float:
+    def max_passes(self, priority: int, now_ms: int) -> float:
         """After how many grants in succession to more urgent ones it is this priority's turn.
 
         A class that asks less often than these gets no greater share of what it asks for.
