--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -33,7 +33,7 @@
 LEVELS_EVERY_MS = 100
 CLAIMANTS_PER_MS = 10
 PRUNE_EVERY_MS = 1000
-MOST_CLAIMANTS = 4096
+MAX_CLAIMANTS = 4096
 # How many are left once there are more, so that evictions are rare.
 CLAIMANTS_KEPT = 3584
 
@@ -109,7 +109,7 @@
         claimant = _claimant(ask)
         self.counts.note(self.counts.granted, claimant, self._decision(ask, now_ms))
         self._charge(claimant, self._cost(_tokens(ask)), now_ms)
-        if len(self._granted.served) > MOST_CLAIMANTS:
+        if len(self._granted.served) > MAX_CLAIMANTS:
             self._granted.evict_least(CLAIMANTS_KEPT, now_ms)
 
     def note_taken_back(self, run: Run, now_ms: int) -> None:
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -14,7 +14,7 @@
 from saffronworks.explain import read_stories
 from saffronworks.forwarding.figures import Figures
 from saffronworks.forwarding.planning import core, messages
-from saffronworks.forwarding.planning.fair_shares import MOST_CLAIMANTS, FairShares
+from saffronworks.forwarding.planning.fair_shares import MAX_CLAIMANTS, FairShares
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.service import MemoryPlanner, _show_share
 from saffronworks.forwarding.planning.share_counts import Decision
@@ -280,8 +280,8 @@
 @then("it keeps what is bounded, and a look at them takes some milliseconds")
 def bounded(context):
     shares = context.shares
-    assert len(shares._granted.served) <= MOST_CLAIMANTS
-    assert len(shares.counts.granted) <= MOST_CLAIMANTS and len(shares.counts.decisions) <= 512
+    assert len(shares._granted.served) <= MAX_CLAIMANTS
+    assert len(shares.counts.granted) <= MAX_CLAIMANTS and len(shares.counts.decisions) <= 512
     shares.note_unserved(context.waiters)
     took_s = []
     for at_ms in range(2000, 8000, 500):
