--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -34,7 +34,7 @@
 logger = logging.getLogger(__name__)
 
 # Organisations that one summary of a service logs, every five seconds.
-MOST_SHARE_LINES = 8
+MAX_SHARE_LINES = 8
 
 
 class MemoryPlanner:
@@ -89,7 +89,7 @@
         if summary is None:
             return
         self._figures.record_shares(plan.service, summary.rows)
-        for row in summary.rows[:MOST_SHARE_LINES]:
+        for row in summary.rows[:MAX_SHARE_LINES]:
             if not row.waiting and not row.rejected:
                 break
             logger.info(
--- a/saffronworks/forwarding/planning/share_counts.py
+++ b/saffronworks/forwarding/planning/share_counts.py
@@ -12,11 +12,11 @@
 
 SUMMARY_EVERY_MS = 5000
 # A summary is due long before so many are counted; where nobody takes it, counting begins anew.
-MOST_COUNTED = 4096
+MAX_COUNTED = 4096
 # Decisions that wait to be logged; one step of the planner takes some hundreds in a burst.
-MOST_DECISIONS = 512
+MAX_DECISIONS = 512
 # Claimants that a summary names; all others together are `OTHERS`, of no priority.
-MOST_ROWS = 64
+MAX_ROWS = 64
 OTHERS = "(others)"
 
 
@@ -61,10 +61,10 @@
 
     def note(self, counter: Counter[Claimant], claimant: Claimant, decision: Decision) -> None:
         """Count a decision."""
-        if len(counter) >= MOST_COUNTED:
+        if len(counter) >= MAX_COUNTED:
             counter.clear()
         counter[claimant] += 1
-        if len(self.decisions) >= MOST_DECISIONS:
+        if len(self.decisions) >= MAX_DECISIONS:
             self.decisions.clear()
         self.decisions[decision.request_id] = decision
 
@@ -90,7 +90,7 @@
                 self.rejected[claimant],
                 excesses.get(claimant, 0),
             )
-            for claimant in heapq.nlargest(MOST_ROWS, claimants, need)
+            for claimant in heapq.nlargest(MAX_ROWS, claimants, need)
         ]
         if len(claimants) > len(rows):
             rows.append(
