--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -20,10 +20,10 @@
 )
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.tuning import (
-    ASK_AGAIN_MS,
     MAX_RESEND_MS,
     PLANNER_SILENT_MS,
     REPORT_EVERY_MS,
+    RESEND_MS,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -155,7 +155,7 @@
         asked_ms = self._now_ms()
         while True:
             silent_ms = self._now_ms() - max(asked_ms, self._answered_ms.get(planner, 0))
-            left_ms = min(ASK_AGAIN_MS - silent_ms, asked_ms + MAX_RESEND_MS - self._now_ms())
+            left_ms = min(RESEND_MS - silent_ms, asked_ms + MAX_RESEND_MS - self._now_ms())
             if left_ms <= 0:
                 return None
             answer = await self._next_answer(request_id, left_ms)
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -144,7 +144,7 @@
 HEAR_MS = 120
 # An entry node asks again while it waits when it has heard nothing of the planner for so long, and
 # after the longer time in any case: a planner that started anew knows nothing of the ask.
-ASK_AGAIN_MS = 250
+RESEND_MS = 250
 MAX_RESEND_MS = 1000
 # How often the planner looks at those who wait.
 PLAN_EVERY_MS = 20
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -16,10 +16,10 @@
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.tuning import (
-    ASK_AGAIN_MS,
     PLAN_EVERY_MS,
     PLANNER_SILENT_MS,
     REPORT_EVERY_MS,
+    RESEND_MS,
 )
 
 __all__ = [
@@ -167,7 +167,7 @@
             self.plan.heard_ms = START_MS + now_ms
             self._report(now_ms)
             for request_id in waiting:
-                asks_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, ASK_AGAIN_MS)
+                asks_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, RESEND_MS)
                 self._at(asks_ms, self._ask_again(request_id))
 
         self._at(lost_ms, take_over)
