--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -21,12 +21,12 @@
 from saffronworks.forwarding.planning.runs import Occupancies, Occupancy, Run, projected_peak
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
 from saffronworks.forwarding.planning.tuning import (
-    HEAR_MS,
     LOCAL_PREFILL_MEMORY_SHARE,
     MARGIN_ANSWERS,
     MAX_MARGIN_SHARE,
     MS_PER_TOKEN,
     NEAR_PEAK_SHARE,
+    REPORTS_WAIT_MS,
     WARM_UP_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -96,7 +96,7 @@
 
     def hears(self, now_ms: int) -> bool:
         """Whether nodes that were asked what runs there may still answer in a moment."""
-        return bool(self.nodes) and now_ms - self.began_ms < HEAR_MS
+        return bool(self.nodes) and now_ms - self.began_ms < REPORTS_WAIT_MS
 
     @property
     def limit_tokens(self) -> float:
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -141,7 +141,7 @@
 PLANNER_SILENT_MS = 60
 # A plan that begins asks all nodes what runs there; answers take some ten ms, and this with a slow
 # one. Asks wait so long for it, which costs none of them its target.
-HEAR_MS = 120
+REPORTS_WAIT_MS = 120
 # An entry node asks again while it waits when it has heard nothing of the planner for so long, and
 # after the longer time in any case: a planner that started anew knows nothing of the ask.
 RESEND_MS = 250
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -10,7 +10,6 @@
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
-    HEAR_MS,
     LOCAL_PREFILL_FACTOR,
     LOCAL_PREFILL_GAP_MS,
     LOCAL_PREFILL_MEMORY_SHARE,
@@ -19,6 +18,7 @@
     PREFILL_MS_PER_TOKEN,
     REPORT_EVERY_MS,
     REPORT_LAPSE_MS,
+    REPORTS_WAIT_MS,
     SHUN_MS,
     WARM_UP_MS,
 )
@@ -370,10 +370,10 @@
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     core.step(plan, ask("a"), {"d0": "z"}, START_MS)
     core.step(plan, messages.MemoryReport("n1:1", "s", ()), {"d0": "z"}, START_MS + 1)
-    assert not core.step(plan, core.Tick(), {"d0": "z"}, START_MS + HEAR_MS - 1)
-    (sent_on,) = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + HEAR_MS)
+    assert not core.step(plan, core.Tick(), {"d0": "z"}, START_MS + REPORTS_WAIT_MS - 1)
+    (sent_on,) = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + REPORTS_WAIT_MS)
     assert sent_on.message == messages.MemoryDirect("a") and not plan.waiters
-    assert answer_to(plan, "b", START_MS + HEAR_MS) is messages.MemoryDirect
+    assert answer_to(plan, "b", START_MS + REPORTS_WAIT_MS) is messages.MemoryDirect
 
 
 @then("after it stood still it does so again")
