--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -5,8 +5,8 @@
 import attrs
 
 from saffronworks.forwarding.planning.tuning import (
-    HEARD_MS,
     MAX_PASSES,
+    PRIORITY_LAPSE_MS,
     RATE_WEIGHT,
     RATE_WINDOW_MS,
 )
@@ -84,7 +84,11 @@
         over = 1 + (now_ms - self._window_ends_ms) // RATE_WINDOW_MS
         self._window_ends_ms += over * RATE_WINDOW_MS
         for rate in self._rates.values():
-            for _ in range(min(over, math.ceil(HEARD_MS / RATE_WINDOW_MS))):
+            for _ in range(min(over, math.ceil(PRIORITY_LAPSE_MS / RATE_WINDOW_MS))):
                 rate.close()
-        kept = {k: rate for k, rate in self._rates.items() if now_ms - rate.heard_ms <= HEARD_MS}
+        kept = {
+            k: rate
+            for k, rate in self._rates.items()
+            if now_ms - rate.heard_ms <= PRIORITY_LAPSE_MS
+        }
         self._rates = kept
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -107,7 +107,7 @@
 # others are left for the urgent, in case none of these fits.
 LOOKS_OF_PASSED = QUEUE_LOOK // 2
 # Priorities have an effect on rejections only while more than one was heard within this time.
-HEARD_MS = 30_000
+PRIORITY_LAPSE_MS = 30_000
 # Asks of each priority are counted in windows of this length; the newest counts by this weight, so
 # that a rate follows a burst of some seconds.
 RATE_WINDOW_MS = 500
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -20,9 +20,9 @@
 from saffronworks.forwarding.planning.service import MemoryPlanner
 from saffronworks.forwarding.planning.tuning import (
     DECIDE_AFTER_MS,
-    HEARD_MS,
     MAX_PASSES,
     PLAN_EVERY_MS,
+    PRIORITY_LAPSE_MS,
 )
 from saffronworks.metrics import ForwardingMetrics
 from saffronworks.tests.log_lines import LogLines
@@ -282,7 +282,7 @@
 @then("half a minute after the other priorities all is as without them")
 def no_longer_mixed(context):
     plan = full_mixed_plan()
-    now_ms = START_MS + HEARD_MS + 1
+    now_ms = START_MS + PRIORITY_LAPSE_MS + 1
     plan.heard_ms = now_ms
     for run in plan.runs.values():
         run.began_ms = now_ms
@@ -368,7 +368,7 @@
     assert rates.per_s(URGENT, 10_000) == 0 and rates.is_mixed(10_000)
     assert rates.per_s(100, 15_000) < 3
     rates.note(BULK, 15_000)
-    assert not rates.is_mixed(9950 + HEARD_MS + 1), "the urgent were heard too long ago"
+    assert not rates.is_mixed(9950 + PRIORITY_LAPSE_MS + 1), "the urgent were heard too long ago"
 
 
 @then("a priority that is negative or huge counts as the nearest one that is valid")
