--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -31,8 +31,8 @@
     FULL_MS,
     MAX_SLOWDOWN,
     QUEUE_LOOK,
-    QUIET_RUN_MS,
     REPORT_LAPSE_MS,
+    STALLED_RUN_MS,
     USUAL_WEIGHT,
 )
 from saffronworks.forwarding.starts import StartId
@@ -204,7 +204,7 @@
             state.reading.uncount(live.request_id, known.reader)
         known.listed = True
         _take_progress(state, known, live, now_ms)
-        if live.made_tokens and live.quiet_ms >= QUIET_RUN_MS:
+        if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
             state.shuns.fail(live.instance, now_ms)
 
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -126,7 +126,7 @@
 SHUN_MOST_MS = 4000
 # A run whose answer came to a halt for so long stands on an endpoint that is gone, stuck or out of
 # memory: events come every 50 ms, 300 ms is late.
-QUIET_RUN_MS = 700
+STALLED_RUN_MS = 700
 # An endpoint that had no room for a grant is asked for none until one of its runs ends, or for this
 # long: one run ends there every 500 ms.
 FULL_MS = 200
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -9,8 +9,8 @@
 from saffronworks.forwarding.planning.prefill_queues import ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     PREFILL_MS_PER_TOKEN,
-    QUIET_RUN_MS,
     SHUN_MS,
+    STALLED_RUN_MS,
 )
 
 
@@ -106,7 +106,7 @@
 @then("an endpoint whose run came to a halt gets nothing for a while")
 def halted(context):
     plan, decoders = warm_plan(), {"d0": "z", "d1": "z"}
-    core.step(plan, run_report("d0", 500, quiet_ms=QUIET_RUN_MS), decoders, START_MS)
+    core.step(plan, run_report("d0", 500, quiet_ms=STALLED_RUN_MS), decoders, START_MS)
     core.step(plan, run_report("d1", 30_000), decoders, START_MS)
     grants = granted(core.step(plan, ask("a"), decoders, START_MS + 1))
     assert [grant.instance for grant in grants] == ["d1"]
