--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -28,7 +28,7 @@
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
 from saffronworks.forwarding.planning.tuning import (
-    FULL_MS,
+    FULL_ENDPOINT_MS,
     MAX_SLOWDOWN,
     QUEUE_LOOK,
     REPORT_LAPSE_MS,
@@ -144,7 +144,7 @@
     """A grant that found no room is asked for again: nothing is read for it, nothing runs."""
     run = _forget_run(state, request_id)
     if run is not None and not run.made_tokens:
-        state.full_until_ms[run.instance] = now_ms + FULL_MS
+        state.full_until_ms[run.instance] = now_ms + FULL_ENDPOINT_MS
         state.shares.note_taken_back(run, now_ms)
 
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -129,7 +129,7 @@
 STALLED_RUN_MS = 700
 # An endpoint that had no room for a grant is asked for none until one of its runs ends, or for this
 # long: one run ends there every 500 ms.
-FULL_MS = 200
+FULL_ENDPOINT_MS = 200
 # Share of the grants that returning callers are to take.
 RETURN_SHARE = 0.6
 # Entry nodes report their runs this often; what is not heard of for longer is gone.
