--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -97,7 +97,7 @@
 # Part of the likely answer that a planned run reserves; the plan provides for the rest.
 PLANNED_RESERVE = 0.25
 # A caller who is to return is told so a little before a fifth of the target.
-DECIDE_AFTER_MS = 150
+FIRST_REJECTION_MS = 150
 # The foremost waiters that are looked at for each grant.
 QUEUE_LOOK = 8
 # Grants in succession that may go to more urgent waiters while a less urgent one waits that can be
@@ -113,7 +113,7 @@
 RATE_WINDOW_MS = 500
 RATE_WEIGHT = 0.2
 # While several priorities are heard, a first rejection goes out after this share of the target, if
-# that is earlier than `DECIDE_AFTER_MS`.
+# that is earlier than `FIRST_REJECTION_MS`.
 DECIDE_SHARE = 1 / 8
 # How much longer an overload is expected to last, of those of 3 to 10 s. Without an end, callers of
 # a short burst are rejected who would still be served.
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.planning import core, messages, plans, runs
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.tuning import (
-    DECIDE_AFTER_MS,
+    FIRST_REJECTION_MS,
     LOCAL_PREFILL_FACTOR,
     LOCAL_PREFILL_GAP_MS,
     LOCAL_PREFILL_MEMORY_SHARE,
@@ -172,8 +172,10 @@
 def told_to_return(context):
     plan = context.plan
     for index in range(4):
-        core.step(plan, ask(f"new{index}", in_time_ms=DECIDE_AFTER_MS), {"d0": "z"}, START_MS + 10)
-    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + DECIDE_AFTER_MS)
+        core.step(
+            plan, ask(f"new{index}", in_time_ms=FIRST_REJECTION_MS), {"d0": "z"}, START_MS + 10
+        )
+    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + FIRST_REJECTION_MS)
     times = [refusal.retry_after_ms for refusal in refused(replies)]
     assert len(times) == 4 and times == sorted(times), times
     assert times[0] >= RETRY_AFTER_LEAST_MS
@@ -200,7 +202,7 @@
     for index in range(5):
         core.step(plan, ask(f"r{index}"), {"d0": "z"}, START_MS)
     waiting = set(plan.waiters)
-    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + DECIDE_AFTER_MS)
+    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + FIRST_REJECTION_MS)
     assert waiting and not refused(replies), replies
 
 
@@ -212,7 +214,7 @@
     taken = int((LOCAL_PREFILL_MEMORY_SHARE + 0.05) * plan.limit_tokens)
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
     core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS)
-    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + DECIDE_AFTER_MS)
+    replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + FIRST_REJECTION_MS)
     assert [refusal.request_id for refusal in refused(replies)] == ["a"], replies
 
 
@@ -322,7 +324,7 @@
 def few_looks(context):
     plan, decoders = context.plan, context.decoders
     assert looks_at(plan, report("n1", "full0"), decoders, START_MS + 1) == 0
-    deciding_ms = START_MS + DECIDE_AFTER_MS
+    deciding_ms = START_MS + FIRST_REJECTION_MS
     assert looks_at(plan, core.Tick(), decoders, deciding_ms) <= 3 * len(decoders)
 
 
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -19,7 +19,7 @@
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.service import MemoryPlanner
 from saffronworks.forwarding.planning.tuning import (
-    DECIDE_AFTER_MS,
+    FIRST_REJECTION_MS,
     MAX_PASSES,
     PLAN_EVERY_MS,
     PRIORITY_LAPSE_MS,
@@ -248,7 +248,7 @@
 
 @then("a first caller is rejected after an eighth of its target, without a target after 150 ms")
 def first_rejected(context):
-    for target_ms, after_ms in ((800, 100), (2000, DECIDE_AFTER_MS), (0, DECIDE_AFTER_MS)):
+    for target_ms, after_ms in ((800, 100), (2000, FIRST_REJECTION_MS), (0, FIRST_REJECTION_MS)):
         plan = full_mixed_plan()
         first = ask("a", priority=BULK, target_ms=target_ms, patience_ms=60_000)
         core.step(plan, first, D0, START_MS)
@@ -271,10 +271,10 @@
     for index in range(20):
         bulk = ask(f"bulk{index}", priority=BULK, in_time_ms=0, patience_ms=60_000)
         core.step(plan, bulk, D0, START_MS)
-    before = refused(core.step(plan, core.Tick(), D0, START_MS + DECIDE_AFTER_MS))
+    before = refused(core.step(plan, core.Tick(), D0, START_MS + FIRST_REJECTION_MS))
     late = ask("urgent", priority=URGENT, in_time_ms=-1, patience_ms=60_000)
-    core.step(plan, late, D0, START_MS + DECIDE_AFTER_MS)
-    (urgent,) = refused(core.step(plan, core.Tick(), D0, START_MS + 2 * DECIDE_AFTER_MS))
+    core.step(plan, late, D0, START_MS + FIRST_REJECTION_MS)
+    (urgent,) = refused(core.step(plan, core.Tick(), D0, START_MS + 2 * FIRST_REJECTION_MS))
     assert len(before) == 20
     assert urgent.retry_after_ms < max(refusal.retry_after_ms for refusal in before)
 
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.planning.messages import MemoryRefusal
 from saffronworks.forwarding.planning.order import WaiterOrder
 from saffronworks.forwarding.planning.plans import Reply
-from saffronworks.forwarding.planning.tuning import DECIDE_AFTER_MS, RETURN_SHARE
+from saffronworks.forwarding.planning.tuning import FIRST_REJECTION_MS, RETURN_SHARE
 from saffronworks.forwarding.tuning import RETRY_AFTER_LEAST_MS, RETRY_AFTER_MOST_MS
 
 __all__ = ["without_priorities"]
@@ -24,7 +24,7 @@
 
 def _refuse(state, decoders, now_ms):
     pending = [w for w in state.waiters.values() if not w.decided]
-    if all(now_ms - waiter.arrived_ms < DECIDE_AFTER_MS for waiter in pending):
+    if all(now_ms - waiter.arrived_ms < FIRST_REJECTION_MS for waiter in pending):
         return []
     per_s, usable = rejections.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     own_readers = state.own_readers(usable)
@@ -44,7 +44,7 @@
 
 
 def _must_return(waiter, turn_ms, now_ms):
-    if waiter.decided or now_ms - waiter.arrived_ms < DECIDE_AFTER_MS:
+    if waiter.decided or now_ms - waiter.arrived_ms < FIRST_REJECTION_MS:
         return False
     waiter.decided = True
     return not waiter.ask.returned and turn_ms > waiter.in_time_until_ms
