--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -6,8 +6,8 @@
 from saffronworks.forwarding.planning.messages import MemoryRefusal
 from saffronworks.forwarding.planning.plans import PlanState, Reply, Waiter
 from saffronworks.forwarding.planning.tuning import (
-    DECIDE_SHARE,
     FIRST_REJECTION_MS,
+    FIRST_REJECTION_SHARE,
     FIRST_TOKEN_MS,
     OVERLOAD_LASTS_MS,
     RETURN_SHARE,
@@ -90,7 +90,7 @@
     """Whether a first refusal must go out, for the caller to return in time."""
     after_ms: float = FIRST_REJECTION_MS
     if mixed and waiter.ask.target_ms > 0:
-        after_ms = min(after_ms, DECIDE_SHARE * waiter.ask.target_ms)
+        after_ms = min(after_ms, FIRST_REJECTION_SHARE * waiter.ask.target_ms)
     return now_ms - waiter.arrived_ms >= after_ms
 
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -114,7 +114,7 @@
 RATE_WEIGHT = 0.2
 # While several priorities are heard, a first rejection goes out after this share of the target, if
 # that is earlier than `FIRST_REJECTION_MS`.
-DECIDE_SHARE = 1 / 8
+FIRST_REJECTION_SHARE = 1 / 8
 # How much longer an overload is expected to last, of those of 3 to 10 s. Without an end, callers of
 # a short burst are rejected who would still be served.
 OVERLOAD_LASTS_MS = 2000
