--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -10,7 +10,7 @@
     FIRST_REJECTION_SHARE,
     FIRST_TOKEN_MS,
     OVERLOAD_LASTS_MS,
-    RETURN_SHARE,
+    RETRY_SHARE,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -154,7 +154,7 @@
     if state.order.rates.is_mixed(now_ms):
         earliest_ms = max(earliest_ms, turn_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
-    next_ms = state.next_return_ms.get(priority, 0.0) + 1000 / (RETURN_SHARE * granted_per_s)
+    next_ms = state.next_return_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
     at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MOST_MS)
     state.next_return_ms[priority] = at_ms
     return int(at_ms - now_ms)
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -131,7 +131,7 @@
 # long: one run ends there every 500 ms.
 FULL_ENDPOINT_MS = 200
 # Share of the grants that returning callers are to take.
-RETURN_SHARE = 0.6
+RETRY_SHARE = 0.6
 # Entry nodes report their runs this often; what is not heard of for longer is gone.
 REPORT_EVERY_MS = 400
 REPORT_LAPSE_MS = 1500
