--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -5,8 +5,8 @@
 import attrs
 
 from saffronworks.forwarding.planning.tuning import (
+    EJECTION_MS,
     MAX_EJECTION_MS,
-    SHUN_MS,
 )
 from saffronworks.forwarding.starts import StartId
 
@@ -32,7 +32,7 @@
         if known is not None and now_ms < known.until_ms:
             return
         again = known is not None and now_ms < known.until_ms + known.span_ms
-        span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else SHUN_MS
+        span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else EJECTION_MS
         self._shuns[instance] = _Shun(now_ms + span_ms, span_ms)
         self._news.append((instance, span_ms))
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -122,7 +122,7 @@
 KEPT_SHARE = 0.25
 # An endpoint that failed a request, or changes its role, gets nothing for this long; one that fails
 # again right after that, twice as long each time, up to what most troubles of endpoints last.
-SHUN_MS = 1000
+EJECTION_MS = 1000
 MAX_EJECTION_MS = 4000
 # A run whose answer came to a halt for so long stands on an endpoint that is gone, stuck or out of
 # memory: events come every 50 ms, 300 ms is late.
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -8,8 +8,8 @@
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.prefill_queues import ReadingPace
 from saffronworks.forwarding.planning.tuning import (
+    EJECTION_MS,
     PREFILL_MS_PER_TOKEN,
-    SHUN_MS,
     STALLED_RUN_MS,
 )
 
@@ -39,24 +39,24 @@
     plan = context.plan
     assert first_choice(plan, "b", START_MS + 1) == "d1"
     assert first_choice(plan, "c", START_MS + 2, decoders=("d0",)) == "d0"
-    assert first_choice(plan, "d", START_MS + SHUN_MS) == "d0"
+    assert first_choice(plan, "d", START_MS + EJECTION_MS) == "d0"
 
 
 @then("when it fails again right after that, it is left alone for twice as long")
 def twice_as_long(context):
-    plan, again_ms = context.plan, START_MS + SHUN_MS + 1
+    plan, again_ms = context.plan, START_MS + EJECTION_MS + 1
     fail_at(plan, again_ms)
     fail_at(plan, again_ms + 1)
-    assert first_choice(plan, "e", again_ms + 2 * SHUN_MS - 1) == "d1"
-    assert first_choice(plan, "f", again_ms + 2 * SHUN_MS) == "d0"
+    assert first_choice(plan, "e", again_ms + 2 * EJECTION_MS - 1) == "d1"
+    assert first_choice(plan, "f", again_ms + 2 * EJECTION_MS) == "d0"
 
 
 @then("what is known of endpoints that are gone is forgotten")
 def gone_forgotten(context):
-    fail_at(context.plan, START_MS + 9 * SHUN_MS)
-    context.plan.full_until_ms["d0"] = START_MS + 99 * SHUN_MS
+    fail_at(context.plan, START_MS + 9 * EJECTION_MS)
+    context.plan.full_until_ms["d0"] = START_MS + 99 * EJECTION_MS
     context.plan.forget_all_but({"d1"})
-    assert first_choice(context.plan, "g", START_MS + 9 * SHUN_MS + 1) == "d0"
+    assert first_choice(context.plan, "g", START_MS + 9 * EJECTION_MS + 1) == "d0"
 
 
 @then("a reader that takes long gets fewer prompts")
@@ -110,7 +110,7 @@
     core.step(plan, run_report("d1", 30_000), decoders, START_MS)
     grants = granted(core.step(plan, ask("a"), decoders, START_MS + 1))
     assert [grant.instance for grant in grants] == ["d1"]
-    assert plan.shuns.take_news() == [("d0", SHUN_MS)]
+    assert plan.shuns.take_news() == [("d0", EJECTION_MS)]
 
 
 @given("a plan that granted a place where there was no room")
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -9,6 +9,7 @@
 from saffronworks.forwarding.planning import core, messages, plans, runs
 from saffronworks.forwarding.planning.prefill import ReadingPlan
 from saffronworks.forwarding.planning.tuning import (
+    EJECTION_MS,
     FIRST_REJECTION_MS,
     LOCAL_PREFILL_FACTOR,
     LOCAL_PREFILL_GAP_MS,
@@ -19,7 +20,6 @@
     REPORT_EVERY_MS,
     REPORT_LAPSE_MS,
     REPORTS_WAIT_MS,
-    SHUN_MS,
     WARM_UP_MS,
 )
 from saffronworks.forwarding.tuning import (
@@ -293,7 +293,7 @@
     first = granted(core.step(plan, failed, {"d0": "z", "d1": "z"}, START_MS))
     second = granted(core.step(plan, ask("b"), {"d0": "z", "d1": "z"}, START_MS + 1))
     assert [grant.instance for grant in first + second] == ["d1", "d1"]
-    later = granted(core.step(plan, ask("c"), {"d0": "z", "d1": "z"}, START_MS + SHUN_MS))
+    later = granted(core.step(plan, ask("c"), {"d0": "z", "d1": "z"}, START_MS + EJECTION_MS))
     assert later[0].instance == "d0"
 
 
