--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -10,7 +10,7 @@
 )
 from saffronworks.forwarding.starts import StartId
 
-__all__ = ["ShunTable"]
+__all__ = ["EjectionTable"]
 
 
 @attrs.define
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class ShunTable:
+class EjectionTable:
     """Each is left alone for a while, twice as long when it fails again right after that."""
 
     _shuns: dict[StartId, _Shun] = attrs.Factory(dict)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.ejections import ShunTable
+from saffronworks.forwarding.planning.ejections import EjectionTable
 from saffronworks.forwarding.planning.fair_shares import FairShares
 from saffronworks.forwarding.planning.lengths import AnswerLengths
 from saffronworks.forwarding.planning.messages import (
@@ -72,7 +72,7 @@
     reading: ReadingPlan = attrs.Factory(ReadingPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
     speeds: EndpointSpeeds = attrs.Factory(EndpointSpeeds)
-    shuns: ShunTable = attrs.Factory(ShunTable)
+    shuns: EjectionTable = attrs.Factory(EjectionTable)
     shares: FairShares = attrs.Factory(FairShares)
     order: WaiterOrder = attrs.field(init=False)
     full_until_ms: dict[StartId, int] = attrs.Factory(dict)
