--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class _Shun:
+class _Ejection:
     until_ms: int
     span_ms: int
 
@@ -23,7 +23,7 @@
 class EjectionTable:
     """Each is left alone for a while, twice as long when it fails again right after that."""
 
-    _shuns: dict[StartId, _Shun] = attrs.Factory(dict)
+    _shuns: dict[StartId, _Ejection] = attrs.Factory(dict)
     _news: list[tuple[StartId, int]] = attrs.Factory(list)
 
     def fail(self, instance: StartId, now_ms: int) -> None:
@@ -33,7 +33,7 @@
             return
         again = known is not None and now_ms < known.until_ms + known.span_ms
         span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else EJECTION_MS
-        self._shuns[instance] = _Shun(now_ms + span_ms, span_ms)
+        self._shuns[instance] = _Ejection(now_ms + span_ms, span_ms)
         self._news.append((instance, span_ms))
 
     def take_news(self) -> list[tuple[StartId, int]]:
