--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -23,17 +23,17 @@
 class EjectionTable:
     """Each is left alone for a while, twice as long when it fails again right after that."""
 
-    _shuns: dict[StartId, _Ejection] = attrs.Factory(dict)
+    _ejections: dict[StartId, _Ejection] = attrs.Factory(dict)
     _news: list[tuple[StartId, int]] = attrs.Factory(list)
 
     def fail(self, instance: StartId, now_ms: int) -> None:
         """A request failed there. More that failed meanwhile make it no worse."""
-        known = self._shuns.get(instance)
+        known = self._ejections.get(instance)
         if known is not None and now_ms < known.until_ms:
             return
         again = known is not None and now_ms < known.until_ms + known.span_ms
         span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else EJECTION_MS
-        self._shuns[instance] = _Ejection(now_ms + span_ms, span_ms)
+        self._ejections[instance] = _Ejection(now_ms + span_ms, span_ms)
         self._news.append((instance, span_ms))
 
     def take_news(self) -> list[tuple[StartId, int]]:
@@ -43,13 +43,13 @@
 
     def shunned(self, instance: StartId, now_ms: int) -> bool:
         """Whether it is to get nothing now."""
-        known = self._shuns.get(instance)
+        known = self._ejections.get(instance)
         return known is not None and now_ms < known.until_ms
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what belongs to endpoints that are gone."""
-        for instance in self._shuns.keys() - instances:
-            del self._shuns[instance]
+        for instance in self._ejections.keys() - instances:
+            del self._ejections[instance]
 
     def usable(self, instances: Iterable[StartId], now_ms: int) -> list[StartId]:
         """Those that may get work; all of them when none is left, as one may serve again."""
