--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -72,7 +72,7 @@
     reading: ReadingPlan = attrs.Factory(ReadingPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
     speeds: EndpointSpeeds = attrs.Factory(EndpointSpeeds)
-    shuns: EjectionTable = attrs.Factory(EjectionTable)
+    ejections: EjectionTable = attrs.Factory(EjectionTable)
     shares: FairShares = attrs.Factory(FairShares)
     order: WaiterOrder = attrs.field(init=False)
     full_until_ms: dict[StartId, int] = attrs.Factory(dict)
@@ -106,7 +106,7 @@
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of endpoints that are gone."""
-        self.shuns.forget_all_but(instances)
+        self.ejections.forget_all_but(instances)
         self.reading.forget_all_but(instances)
         self.speeds.forget_all_but(instances)
         for instance in self.full_until_ms.keys() - instances:
@@ -120,7 +120,7 @@
                 slowness=self.speeds.factor(name, now_ms),
                 ms_per_token=self.speeds.ms_per_token(name, self.ms_per_token, now_ms),
             )
-            for name in self.shuns.usable(decoders, now_ms)
+            for name in self.ejections.usable(decoders, now_ms)
             if self.full_until_ms.get(name, 0) <= now_ms
         }
         for run in self.runs.values():
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -117,7 +117,7 @@
         self._trim()
         listed = self._directory.usable(service, now_ms, Role.PREFILL)
         readers = {endpoint.instance: endpoint.zone for endpoint in listed}
-        names = plan.shuns.usable(readers, now_ms)
+        names = plan.ejections.usable(readers, now_ms)
         plan.reading.readers = {name: readers[name] for name in names}
         replies = core.step(plan, event, decoders, now_ms)
         decisions = plan.shares.take_decisions()
@@ -127,7 +127,7 @@
         self._tell_speeds(plan, now_ms)
         if plan.waiters or plan.runs:
             self._active.set()
-        for instance, span_ms in plan.shuns.take_news():
+        for instance, span_ms in plan.ejections.take_news():
             logger.info(
                 "event=endpoint_shunned service=%s endpoint=%s for_ms=%d after=%s endpoints_rev=%s",
                 service,
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -60,13 +60,13 @@
     before, later = start_id("e0", 5), start_id("e0", 9)
     loads, plan = LoadTable("z"), PlanState(0, 90_000, 8)
     loads.of(before).fail(0, unreachable=True)
-    plan.shuns.fail(before, 0)
+    plan.ejections.fail(before, 0)
     plan.full_until_ms[before] = 5000
     plan.reading.readers = {before: "z", later: "z"}
     plan.reading.count("r1", before, 5000, 0)
     plan.reading.pace.learn(before, 5000, 900.0)
     assert loads.of(later).circuit.admits(0) and not loads.of(before).circuit.admits(0)
-    assert plan.shuns.usable([before, later], 1) == [later]
+    assert plan.ejections.usable([before, later], 1) == [later]
     assert set(plan.occupancies({later: "z"}, 1)) == {later}
     assert plan.reading.backlog_ms(later, 1) == 0 < plan.reading.backlog_ms(before, 1)
     assert set(plan.reading.pace._of_reader) == {before}
@@ -287,7 +287,7 @@
     planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:8", "s", (live,)))
     assert plan.runs["r1"].instance == "e0@5"
     planner._take(kernel, "s", messages.MemoryRelease("r2", "s", broken=(StartId("e0"),)))
-    assert plan.shuns.shunned(StartId("e0@5"), 2000)
+    assert plan.ejections.shunned(StartId("e0@5"), 2000)
     other = messages.LiveRun("r3", StartId("e0@4"), 5000, 600, 900, 100)
     planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:7", "s", (other,)))
     assert plan.runs["r3"].instance == "e0@4", "a run of an earlier start is none of this one"
