--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -41,7 +41,7 @@
         news, self._news = self._news, []
         return news
 
-    def shunned(self, instance: StartId, now_ms: int) -> bool:
+    def is_ejected(self, instance: StartId, now_ms: int) -> bool:
         """Whether it is to get nothing now."""
         known = self._ejections.get(instance)
         return known is not None and now_ms < known.until_ms
@@ -54,4 +54,4 @@
     def usable(self, instances: Iterable[StartId], now_ms: int) -> list[StartId]:
         """Those that may get work; all of them when none is left, as one may serve again."""
         named = list(instances)
-        return [name for name in named if not self.shunned(name, now_ms)] or named
+        return [name for name in named if not self.is_ejected(name, now_ms)] or named
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -287,7 +287,7 @@
     planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:8", "s", (live,)))
     assert plan.runs["r1"].instance == "e0@5"
     planner._take(kernel, "s", messages.MemoryRelease("r2", "s", broken=(StartId("e0"),)))
-    assert plan.ejections.shunned(StartId("e0@5"), 2000)
+    assert plan.ejections.is_ejected(StartId("e0@5"), 2000)
     other = messages.LiveRun("r3", StartId("e0@4"), 5000, 600, 900, 100)
     planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:7", "s", (other,)))
     assert plan.runs["r3"].instance == "e0@4", "a run of an earlier start is none of this one"
