--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -137,7 +137,7 @@
     known_tokens = state.usual_tokens or float(ask.likely_tokens)
     state.usual_tokens = known_tokens + USUAL_WEIGHT * (ask.likely_tokens - known_tokens)
     for instance in ask.broken:
-        state.ejections.fail(instance, now_ms)
+        state.ejections.record_failure(instance, now_ms)
 
 
 def _take_back(state: PlanState, request_id: str, now_ms: int) -> None:
@@ -158,7 +158,7 @@
 
 def _release(state: PlanState, event: MemoryRelease, now_ms: int) -> None:
     for instance in event.broken:
-        state.ejections.fail(instance, now_ms)
+        state.ejections.record_failure(instance, now_ms)
     state.waiters.pop(event.request_id, None)
     run = _forget_run(state, event.request_id)
     if run is not None:
@@ -205,7 +205,7 @@
         known.listed = True
         _take_progress(state, known, live, now_ms)
         if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
-            state.ejections.fail(live.instance, now_ms)
+            state.ejections.record_failure(live.instance, now_ms)
 
 
 def _take_progress(state: PlanState, run: Run, live: LiveRun, now_ms: int) -> None:
--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -26,7 +26,7 @@
     _ejections: dict[StartId, _Ejection] = attrs.Factory(dict)
     _news: list[tuple[StartId, int]] = attrs.Factory(list)
 
-    def fail(self, instance: StartId, now_ms: int) -> None:
+    def record_failure(self, instance: StartId, now_ms: int) -> None:
         """A request failed there. More that failed meanwhile make it no worse."""
         known = self._ejections.get(instance)
         if known is not None and now_ms < known.until_ms:
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -60,7 +60,7 @@
     before, later = start_id("e0", 5), start_id("e0", 9)
     loads, plan = LoadTable("z"), PlanState(0, 90_000, 8)
     loads.of(before).fail(0, unreachable=True)
-    plan.ejections.fail(before, 0)
+    plan.ejections.record_failure(before, 0)
     plan.full_until_ms[before] = 5000
     plan.reading.readers = {before: "z", later: "z"}
     plan.reading.count("r1", before, 5000, 0)
