--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -36,7 +36,7 @@
         self._ejections[instance] = _Ejection(now_ms + span_ms, span_ms)
         self._news.append((instance, span_ms))
 
-    def take_news(self) -> list[tuple[StartId, int]]:
+    def take_new(self) -> list[tuple[StartId, int]]:
         """Those that are left alone from now on, and for how many ms; each is told once."""
         news, self._news = self._news, []
         return news
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -127,7 +127,7 @@
         self._tell_speeds(plan, now_ms)
         if plan.waiters or plan.runs:
             self._active.set()
-        for instance, span_ms in plan.ejections.take_news():
+        for instance, span_ms in plan.ejections.take_new():
             logger.info(
                 "event=endpoint_shunned service=%s endpoint=%s for_ms=%d after=%s endpoints_rev=%s",
                 service,
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -110,7 +110,7 @@
     core.step(plan, run_report("d1", 30_000), decoders, START_MS)
     grants = granted(core.step(plan, ask("a"), decoders, START_MS + 1))
     assert [grant.instance for grant in grants] == ["d1"]
-    assert plan.ejections.take_news() == [("d0", EJECTION_MS)]
+    assert plan.ejections.take_new() == [("d0", EJECTION_MS)]
 
 
 @given("a plan that granted a place where there was no room")
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -165,7 +165,7 @@
 
 @then("it is never shunned, and gets nine tenths of the load of the others at the least")
 def not_shunned(context):
-    assert not any(load.plan.ejections.take_news() for load in context.loads)
+    assert not any(load.plan.ejections.take_new() for load in context.loads)
     served = served_by(context.loads)
     assert served["d3"] >= 0.9 * served.total() / 8, served
 
