--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -29,11 +29,11 @@
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
 from saffronworks.forwarding.planning.tuning import (
     FULL_ENDPOINT_MS,
+    LENGTH_SAMPLE_WEIGHT,
     MAX_SLOWDOWN,
     QUEUE_LOOK,
     REPORT_LAPSE_MS,
     STALLED_RUN_MS,
-    USUAL_WEIGHT,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -135,7 +135,7 @@
     """What an ask says counts once, though it comes again while it waits."""
     state.order.rates.note(clip_rank(ask.priority), now_ms)
     known_tokens = state.usual_tokens or float(ask.likely_tokens)
-    state.usual_tokens = known_tokens + USUAL_WEIGHT * (ask.likely_tokens - known_tokens)
+    state.usual_tokens = known_tokens + LENGTH_SAMPLE_WEIGHT * (ask.likely_tokens - known_tokens)
     for instance in ask.broken:
         state.ejections.record_failure(instance, now_ms)
 
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -21,7 +21,7 @@
     ShareCounts,
     ShareSummary,
 )
-from saffronworks.forwarding.planning.tuning import USUAL_WEIGHT
+from saffronworks.forwarding.planning.tuning import LENGTH_SAMPLE_WEIGHT
 from saffronworks.recent_service import RecentService, fair_level
 
 __all__ = ["FairShares"]
@@ -102,7 +102,7 @@
         self._newest_ms = now_ms
         tokens = float(max(1, _tokens(ask)))
         known = self._usual_tokens or tokens
-        self._usual_tokens = known + USUAL_WEIGHT * (tokens - known)
+        self._usual_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
 
     def note_grant(self, ask: MemoryAsk, now_ms: int) -> None:
         """An ask was granted: it is charged."""
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -89,7 +89,7 @@
 # endpoint: 0.018 of worth on five days.
 MARGIN_ANSWERS = 1.25
 # Weight of the newest ask in the usual length: lengths differ by several times.
-USUAL_WEIGHT = 0.05
+LENGTH_SAMPLE_WEIGHT = 0.05
 # But no more than this share is left free.
 MAX_MARGIN_SHARE = 0.4
 # How often one request asks the planner: its place may be gone when it comes to reserve it.
