--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -53,7 +53,7 @@
 
     counts: ShareCounts = attrs.Factory(ShareCounts)
     _granted: RecentService[Claimant] = attrs.Factory(RecentService)
-    _usual_tokens: float = 0.0
+    _mean_run_tokens: float = 0.0
     _newest: str | None = None
     _newest_ms: int = 0
     _other_ms: int | None = None
@@ -101,8 +101,8 @@
             self._newest = ask.organisation
         self._newest_ms = now_ms
         tokens = float(max(1, _tokens(ask)))
-        known = self._usual_tokens or tokens
-        self._usual_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
+        known = self._mean_run_tokens or tokens
+        self._mean_run_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
 
     def note_grant(self, ask: MemoryAsk, now_ms: int) -> None:
         """An ask was granted: it is charged."""
@@ -189,7 +189,7 @@
         self._excesses.pop(claimant, None)
 
     def _cost(self, tokens: float) -> float:
-        return max(1.0, tokens) / max(1.0, self._usual_tokens)
+        return max(1.0, tokens) / max(1.0, self._mean_run_tokens)
 
     def _decision(self, ask: MemoryAsk, now_ms: int) -> Decision:
         priority, organisation = _claimant(ask)
