--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -134,8 +134,10 @@
 def _learn_from_ask(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
     """What an ask says counts once, though it comes again while it waits."""
     state.order.rates.note(clip_rank(ask.priority), now_ms)
-    known_tokens = state.usual_tokens or float(ask.likely_tokens)
-    state.usual_tokens = known_tokens + LENGTH_SAMPLE_WEIGHT * (ask.likely_tokens - known_tokens)
+    known_tokens = state.mean_answer_tokens or float(ask.likely_tokens)
+    state.mean_answer_tokens = known_tokens + LENGTH_SAMPLE_WEIGHT * (
+        ask.likely_tokens - known_tokens
+    )
     for instance in ask.broken:
         state.ejections.record_failure(instance, now_ms)
 
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -53,7 +53,7 @@
     long: it may have stood still meanwhile. Endpoints that failed a request are shunned for a
     while, those that had no room for a grant are full for a moment or until a run of theirs ends.
     `kept` names the endpoints that the latest look kept from priorities behind theirs.
-    `usual_tokens` is the running average of likely answers, `nodes` are those that report,
+    `mean_answer_tokens` is the running average of likely answers, `nodes` are those that report,
     `own_address` is where they do so.
     """
 
@@ -76,7 +76,7 @@
     shares: FairShares = attrs.Factory(FairShares)
     order: WaiterOrder = attrs.field(init=False)
     full_until_ms: dict[StartId, int] = attrs.Factory(dict)
-    usual_tokens: float = 0.0
+    mean_answer_tokens: float = 0.0
     nodes: Collection[str] = ()
 
     @order.default
@@ -101,7 +101,7 @@
     @property
     def limit_tokens(self) -> float:
         """What foreseen peaks of an endpoint may take."""
-        margin_tokens = MARGIN_ANSWERS * self.usual_tokens
+        margin_tokens = MARGIN_ANSWERS * self.mean_answer_tokens
         return self.capacity_tokens - min(margin_tokens, MAX_MARGIN_SHARE * self.capacity_tokens)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -126,9 +126,9 @@
 @then("a small memory keeps room for as many answers beyond the plan as a large one")
 def same_margin(context):
     for capacity in (60_000, 200_000):
-        plan = core.PlanState(0, capacity, SLOTS, usual_tokens=4000.0)
+        plan = core.PlanState(0, capacity, SLOTS, mean_answer_tokens=4000.0)
         assert capacity - plan.limit_tokens == MARGIN_ANSWERS * 4000
-    plan = core.PlanState(0, 10_000, SLOTS, usual_tokens=4000.0)
+    plan = core.PlanState(0, 10_000, SLOTS, mean_answer_tokens=4000.0)
     assert plan.limit_tokens == (1 - MAX_MARGIN_SHARE) * 10_000
 
 
