--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -30,8 +30,8 @@
 from saffronworks.forwarding.planning.tuning import (
     FULL_ENDPOINT_MS,
     LENGTH_SAMPLE_WEIGHT,
+    MAX_EXAMINED,
     MAX_SLOWDOWN,
-    QUEUE_LOOK,
     REPORT_LAPSE_MS,
     STALLED_RUN_MS,
 )
@@ -252,7 +252,7 @@
     replies = []
     reserve = _make_reserve(state, now_ms)
     offers = state.order.offers(state.waiters.values(), now_ms)
-    for waiter in islice(offers, QUEUE_LOOK):
+    for waiter in islice(offers, MAX_EXAMINED):
         ask = waiter.ask
         decoders_read = state.reading.decoders_read(now_ms)
         open_to = _open_to(state, reserve, waiter, usable)
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -99,13 +99,13 @@
 # A caller who is to return is told so a little before a fifth of the target.
 FIRST_REJECTION_MS = 150
 # The foremost waiters that are looked at for each grant.
-QUEUE_LOOK = 8
+MAX_EXAMINED = 8
 # Grants in succession that may go to more urgent waiters while a less urgent one waits that can be
 # in time: less urgent classes get one place in nine at the least.
 MAX_PASSES = 8
 # Of the foremost waiters that are looked at, those of a priority that was passed over so often: the
 # others are left for the urgent, in case none of these fits.
-LOOKS_OF_PASSED = QUEUE_LOOK // 2
+LOOKS_OF_PASSED = MAX_EXAMINED // 2
 # Priorities have an effect on rejections only while more than one was heard within this time.
 PRIORITY_LAPSE_MS = 30_000
 # Asks of each priority are counted in windows of this length; the newest counts by this weight, so
