--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding.planning.messages import MemoryAsk
 from saffronworks.forwarding.planning.priorities import clip_rank
 from saffronworks.forwarding.planning.request_rates import AskRates
-from saffronworks.forwarding.planning.tuning import LOOKS_OF_PASSED
+from saffronworks.forwarding.planning.tuning import MAX_OVERDUE_EXAMINED
 
 __all__ = ["Excess", "Waiter", "WaiterOrder", "count_by_priority"]
 
@@ -78,7 +78,7 @@
         A passed priority is offered a few places only, since its waiters may fit nowhere.
         """
         lines, late = self._split(waiters, now_ms)
-        looks = LOOKS_OF_PASSED
+        looks = MAX_OVERDUE_EXAMINED
         while lines:
             due = self._due(self.passes, lines, now_ms) if looks else None
             looks -= due is not None
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -105,7 +105,7 @@
 MAX_PASSES = 8
 # Of the foremost waiters that are looked at, those of a priority that was passed over so often: the
 # others are left for the urgent, in case none of these fits.
-LOOKS_OF_PASSED = MAX_EXAMINED // 2
+MAX_OVERDUE_EXAMINED = MAX_EXAMINED // 2
 # Priorities have an effect on rejections only while more than one was heard within this time.
 PRIORITY_LAPSE_MS = 30_000
 # Asks of each priority are counted in windows of this length; the newest counts by this weight, so
