--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -18,9 +18,9 @@
     SPEED_BAND,
     SPEED_FRESH_MS,
     SPEED_HALF_LIFE_MS,
+    SPEED_LOG_STEP,
     SPEED_NEWS_EVERY_MS,
     SPEED_NEWS_PER_S,
-    SPEED_NEWS_STEP,
     USUAL_RUN_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -152,7 +152,7 @@
         news = []
         for instance, speed in self._speeds.items():
             factor = self.factor(instance, now_ms)
-            if abs(math.log(factor / speed.told_factor)) >= SPEED_NEWS_STEP:
+            if abs(math.log(factor / speed.told_factor)) >= SPEED_LOG_STEP:
                 speed.told_factor = factor
                 news.append(SpeedNews(instance, factor, speed.runs, speed.ms_per_token))
                 if len(news) == left:
