--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -19,8 +19,8 @@
     SPEED_FRESH_MS,
     SPEED_HALF_LIFE_MS,
     SPEED_LOG_STEP,
+    SPEED_LOGS_PER_S,
     SPEED_NEWS_EVERY_MS,
-    SPEED_NEWS_PER_S,
     USUAL_RUN_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -146,7 +146,7 @@
             return []
         self._looked_ms = now_ms
         self._told_ms = [told_ms for told_ms in self._told_ms if now_ms - told_ms < 1000]
-        left = SPEED_NEWS_PER_S - len(self._told_ms)
+        left = SPEED_LOGS_PER_S - len(self._told_ms)
         if left <= 0:
             return []
         news = []
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -33,7 +33,7 @@
 # Log lines on speeds: for a change of the factor by this logarithm, so many in a second, looked for
 # so often: after each of 1000 events a second it would cost several hundredths of a core.
 SPEED_LOG_STEP = 0.25
-SPEED_NEWS_PER_S = 4
+SPEED_LOGS_PER_S = 4
 SPEED_NEWS_EVERY_MS = 250
 # Endpoints whose foreseen peaks differ by this share of the planned memory or less are taken for
 # equally full, and the fastest of them is chosen.
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -15,7 +15,7 @@
 from saffronworks.forwarding.planning.runs import projected_peak
 from saffronworks.forwarding.planning.service import MemoryPlanner
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
-from saffronworks.forwarding.planning.tuning import SPEED_HALF_LIFE_MS, SPEED_NEWS_PER_S
+from saffronworks.forwarding.planning.tuning import SPEED_HALF_LIFE_MS, SPEED_LOGS_PER_S
 from saffronworks.tests.uneven_engines import EngineNoise, UnevenLoad, uneven_speeds
 
 WAVE = [(4000, 20.0), (10_000, 44.0), (16_000, 20.0)]
@@ -238,7 +238,7 @@
     for later_ms in range(0, 2000, 20):
         planner._tell_speeds(plan, START_MS + later_ms)
     told = sum(figures.counts.values())
-    assert told == len(figures.take_samples()) == 2 * SPEED_NEWS_PER_S, told
+    assert told == len(figures.take_samples()) == 2 * SPEED_LOGS_PER_S, told
 
 
 NUMBERS = st.sampled_from((0, -1, -(2**63), 1, 7, 400, 2**63)) | st.integers(-(10**6), 10**9)
