--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -18,9 +18,9 @@
     SPEED_BAND,
     SPEED_FRESH_MS,
     SPEED_HALF_LIFE_MS,
+    SPEED_LOG_EVERY_MS,
     SPEED_LOG_STEP,
     SPEED_LOGS_PER_S,
-    SPEED_NEWS_EVERY_MS,
     USUAL_RUN_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -142,7 +142,7 @@
 
         It is asked after each event, and looks at all endpoints only now and then.
         """
-        if now_ms - self._looked_ms < SPEED_NEWS_EVERY_MS:
+        if now_ms - self._looked_ms < SPEED_LOG_EVERY_MS:
             return []
         self._looked_ms = now_ms
         self._told_ms = [told_ms for told_ms in self._told_ms if now_ms - told_ms < 1000]
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -34,7 +34,7 @@
 # so often: after each of 1000 events a second it would cost several hundredths of a core.
 SPEED_LOG_STEP = 0.25
 SPEED_LOGS_PER_S = 4
-SPEED_NEWS_EVERY_MS = 250
+SPEED_LOG_EVERY_MS = 250
 # Endpoints whose foreseen peaks differ by this share of the planned memory or less are taken for
 # equally full, and the fastest of them is chosen.
 NEAR_PEAK_SHARE = 0.03
