--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -28,7 +28,7 @@
     SAMPLE_WEIGHT,
 )
 
-__all__ = ["EndpointSpeeds", "SpeedNews", "is_plausible_pace"]
+__all__ = ["EndpointSpeeds", "SpeedChange", "is_plausible_pace"]
 
 
 def is_plausible_pace(tokens: int, span_ms: int) -> bool:
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class SpeedNews:
+class SpeedChange:
     """An endpoint's time for a token has changed, as a multiple of the service's average."""
 
     instance: StartId
@@ -137,7 +137,7 @@
         for instance in self._speeds.keys() - instances:
             del self._speeds[instance]
 
-    def take_news(self, now_ms: int) -> list[SpeedNews]:
+    def take_news(self, now_ms: int) -> list[SpeedChange]:
         """Endpoints whose speed has changed by a step since it was told; few in a second.
 
         It is asked after each event, and looks at all endpoints only now and then.
@@ -154,7 +154,7 @@
             factor = self.factor(instance, now_ms)
             if abs(math.log(factor / speed.told_factor)) >= SPEED_LOG_STEP:
                 speed.told_factor = factor
-                news.append(SpeedNews(instance, factor, speed.runs, speed.ms_per_token))
+                news.append(SpeedChange(instance, factor, speed.runs, speed.ms_per_token))
                 if len(news) == left:
                     break
         self._told_ms += [now_ms] * len(news)
