--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -139,7 +139,7 @@
 
     def _tell_speeds(self, plan: PlanState, now_ms: int) -> None:
         """Log the endpoints whose speed has changed by a step, a few lines a second at most."""
-        for news in plan.speeds.take_news(now_ms):
+        for news in plan.speeds.take_changes(now_ms):
             logger.info(
                 "event=endpoint_speed service=%s endpoint=%s factor=%.2f ms_per_token=%.3f "
                 "runs=%.1f load_slope=%.3f",
--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -137,7 +137,7 @@
         for instance in self._speeds.keys() - instances:
             del self._speeds[instance]
 
-    def take_news(self, now_ms: int) -> list[SpeedChange]:
+    def take_changes(self, now_ms: int) -> list[SpeedChange]:
         """Endpoints whose speed has changed by a step since it was told; few in a second.
 
         It is asked after each event, and looks at all endpoints only now and then.
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -264,7 +264,7 @@
                 core.step(plan, release, DECODERS, now_ms)
                 core.step(plan, ask("a"), DECODERS, now_ms)
             core.step(plan, core.Tick(), DECODERS, now_ms)
-            plan.speeds.take_news(now_ms)
+            plan.speeds.take_changes(now_ms)
             for name in DECODERS:
                 assert 0.001 < plan.speeds.ms_per_token(name, plan.ms_per_token, now_ms) < 1000
                 assert 0.001 < plan.speeds.factor(name, now_ms) < 1000
