--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -59,7 +59,7 @@
     runs: float
     ms_per_token: float
     heard_ms: int
-    told_factor: float = 1.0
+    logged_factor: float = 1.0
 
 
 @attrs.define
@@ -152,8 +152,8 @@
         news = []
         for instance, speed in self._speeds.items():
             factor = self.factor(instance, now_ms)
-            if abs(math.log(factor / speed.told_factor)) >= SPEED_LOG_STEP:
-                speed.told_factor = factor
+            if abs(math.log(factor / speed.logged_factor)) >= SPEED_LOG_STEP:
+                speed.logged_factor = factor
                 news.append(SpeedChange(instance, factor, speed.runs, speed.ms_per_token))
                 if len(news) == left:
                     break
