--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -79,7 +79,7 @@
     _covariance: float = 0.0
     _runs: Counter[StartId] = attrs.Factory(Counter)
     _counted_ms: int | None = None
-    _told_ms: list[int] = attrs.Factory(list)
+    _logged_ms: list[int] = attrs.Factory(list)
     _looked_ms: int = 0
 
     @property
@@ -145,8 +145,8 @@
         if now_ms - self._looked_ms < SPEED_LOG_EVERY_MS:
             return []
         self._looked_ms = now_ms
-        self._told_ms = [told_ms for told_ms in self._told_ms if now_ms - told_ms < 1000]
-        left = SPEED_LOGS_PER_S - len(self._told_ms)
+        self._logged_ms = [told_ms for told_ms in self._logged_ms if now_ms - told_ms < 1000]
+        left = SPEED_LOGS_PER_S - len(self._logged_ms)
         if left <= 0:
             return []
         news = []
@@ -157,7 +157,7 @@
                 news.append(SpeedChange(instance, factor, speed.runs, speed.ms_per_token))
                 if len(news) == left:
                     break
-        self._told_ms += [now_ms] * len(news)
+        self._logged_ms += [now_ms] * len(news)
         return news
 
     def _find(self, instance: StartId, runs: int, seen: float, now_ms: int) -> _Speed | None:
