--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -80,7 +80,7 @@
     _runs: Counter[StartId] = attrs.Factory(Counter)
     _counted_ms: int | None = None
     _logged_ms: list[int] = attrs.Factory(list)
-    _looked_ms: int = 0
+    _checked_ms: int = 0
 
     @property
     def load_slope(self) -> float:
@@ -142,9 +142,9 @@
 
         It is asked after each event, and looks at all endpoints only now and then.
         """
-        if now_ms - self._looked_ms < SPEED_LOG_EVERY_MS:
+        if now_ms - self._checked_ms < SPEED_LOG_EVERY_MS:
             return []
-        self._looked_ms = now_ms
+        self._checked_ms = now_ms
         self._logged_ms = [told_ms for told_ms in self._logged_ms if now_ms - told_ms < 1000]
         left = SPEED_LOGS_PER_S - len(self._logged_ms)
         if left <= 0:
