--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -58,7 +58,7 @@
     factor: float
     runs: float
     ms_per_token: float
-    heard_ms: int
+    last_sample_ms: int
     logged_factor: float = 1.0
 
 
@@ -182,7 +182,7 @@
         alone = seen / math.exp(self.load_slope * (runs - self._average_runs))
         known = _aged(speed, now_ms)
         ratio = known * _clip(alone / self._average / known)
-        speed.factor, speed.heard_ms = known + weight * (ratio - known), now_ms
+        speed.factor, speed.last_sample_ms = known + weight * (ratio - known), now_ms
         speed.runs += weight * (runs - speed.runs)
         level = speed.ms_per_token
         speed.ms_per_token += weight * (level * _clip(seen / level) - level)
@@ -202,7 +202,7 @@
 
 def _aged(speed: _Speed, now_ms: int) -> float:
     """The factor after a time without samples: it returns to the average."""
-    silent_ms = max(0, now_ms - speed.heard_ms - SPEED_FRESH_MS)
+    silent_ms = max(0, now_ms - speed.last_sample_ms - SPEED_FRESH_MS)
     return 1 + (speed.factor - 1) * 0.5 ** (silent_ms / SPEED_HALF_LIFE_MS)
 
 
