--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -18,7 +18,7 @@
 class _Rate:
     """Asks in a window: the running mean and variance, and those of the present window."""
 
-    heard_ms: int
+    last_request_ms: int
     mean: float = 0.0
     variance: float = 0.0
     count: int = 0
@@ -42,7 +42,7 @@
         """A request asked for the first time."""
         self._roll(now_ms)
         rate = self._rates.setdefault(priority, _Rate(now_ms))
-        rate.heard_ms = now_ms
+        rate.last_request_ms = now_ms
         rate.count += 1
 
     def is_mixed(self, now_ms: int) -> bool:
@@ -89,6 +89,6 @@
         kept = {
             k: rate
             for k, rate in self._rates.items()
-            if now_ms - rate.heard_ms <= PRIORITY_LAPSE_MS
+            if now_ms - rate.last_request_ms <= PRIORITY_LAPSE_MS
         }
         self._rates = kept
