--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -58,10 +58,10 @@
     events a second, and a look at all who wait costs a millisecond of a small VM.
     """
     replies: list[Reply] = []
-    if now_ms - state.heard_ms > REPORT_LAPSE_MS:
+    if now_ms - state.last_event_ms > REPORT_LAPSE_MS:
         state.began_ms = now_ms
         replies += _want_reports(state)
-    state.heard_ms = now_ms
+    state.last_event_ms = now_ms
     match event:
         case MemoryAsk():
             if not state.whole(now_ms) and not state.hears(now_ms):
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -68,7 +68,7 @@
     kept: dict[StartId, int] = attrs.Factory(dict)
     reported_ms: dict[str, int] = attrs.Factory(dict)
     next_return_ms: dict[int, float] = attrs.Factory(dict)
-    heard_ms: int = 0
+    last_event_ms: int = 0
     reading: ReadingPlan = attrs.Factory(ReadingPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
     speeds: EndpointSpeeds = attrs.Factory(EndpointSpeeds)
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -143,7 +143,7 @@
 
 @then("what runs hold counts from the start")
 def held_counts(context):
-    plan = core.PlanState(0, CAPACITY_TOKENS, 12, heard_ms=START_MS)
+    plan = core.PlanState(0, CAPACITY_TOKENS, 12, last_event_ms=START_MS)
     runs = tuple(
         messages.LiveRun(f"{index}", f"d{index % 4}", 3200, 640, 999, 0, organisation="large")
         for index in range(44)
@@ -172,7 +172,7 @@
 
 def play_events(events, organisations, capacity=12_000, slots=12, readers=()):
     """The replies to asks, each followed by a tick or by the end of the oldest run."""
-    plan = core.PlanState(0, capacity, slots, heard_ms=START_MS)
+    plan = core.PlanState(0, capacity, slots, last_event_ms=START_MS)
     plan.reading.readers = dict.fromkeys(readers, "z")
     now_ms, told = START_MS, []
     for index, (gap_ms, which, tokens, ends) in enumerate(events):
@@ -212,7 +212,7 @@
 
 
 def roomy_plan(**changes):
-    plan = core.PlanState(START_MS, 10**9, 99, heard_ms=START_MS, **changes)
+    plan = core.PlanState(START_MS, 10**9, 99, last_event_ms=START_MS, **changes)
     plan.reading.readers = {"p0": "z"}
     return plan
 
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -22,14 +22,14 @@
 
 def fail_at(plan, now_ms):
     failed = messages.MemoryRelease("a", "s", broken=("d0",))
-    plan.heard_ms = now_ms
+    plan.last_event_ms = now_ms
     core.step(plan, failed, {"d0": "z", "d1": "z"}, now_ms)
 
 
 def first_choice(plan, request_id, now_ms, decoders=("d0", "d1")):
     """Where a request goes that finds no other run."""
     plan.runs.clear()
-    plan.heard_ms = now_ms
+    plan.last_event_ms = now_ms
     grants = granted(core.step(plan, ask(request_id), dict.fromkeys(decoders, "z"), now_ms))
     return grants[0].instance
 
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -54,7 +54,7 @@
         began_ms=0,
         capacity_tokens=CAPACITY,
         slots=SLOTS,
-        heard_ms=START_MS,
+        last_event_ms=START_MS,
         reading=ReadingPlan({f"p{index}": "z" for index in range(MANY_READERS)}),
     )
 
@@ -331,7 +331,7 @@
 @given("a planner that is asked for the first time")
 def first_ask(context):
     context.plan = core.PlanState(
-        began_ms=START_MS, capacity_tokens=CAPACITY, slots=SLOTS, heard_ms=START_MS
+        began_ms=START_MS, capacity_tokens=CAPACITY, slots=SLOTS, last_event_ms=START_MS
     )
 
 
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -283,7 +283,7 @@
 def no_longer_mixed(context):
     plan = full_mixed_plan()
     now_ms = START_MS + PRIORITY_LAPSE_MS + 1
-    plan.heard_ms = now_ms
+    plan.last_event_ms = now_ms
     for run in plan.runs.values():
         run.began_ms = now_ms
     plan.waiters.clear()
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -219,7 +219,7 @@
         ask = messages.MemoryAsk(
             f"r{self.asked}", "127.0.0.1:9", "s", **sizes, **times, returned=False
         )
-        self.plan.began_ms, self.plan.heard_ms = -9999, self.now_ms
+        self.plan.began_ms, self.plan.last_event_ms = -9999, self.now_ms
         self.planner._take(self.kernel, "s", ask)
         self.plan.waiters.clear()
         for answer in self.answers:
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -69,7 +69,7 @@
     role_core.step(state, role_core.DutyTaken(7, took_over=False), before_ms)
     assert after_ms - state.duty_seen_ms > role_core.CONFIRMED_MS
     plan = PlanState(before_ms - 5000, 90_000, 8)
-    plan.heard_ms = before_ms
+    plan.last_event_ms = before_ms
     assert plan.whole(before_ms)
     plan_step(plan, Tick(), {}, after_ms)
     assert not plan.whole(after_ms), "what nodes did meanwhile is not known"
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -151,7 +151,7 @@
             began_ms=began_ms,
             capacity_tokens=self.shape.capacity_tokens,
             slots=self.shape.slots,
-            heard_ms=START_MS + began_ms,
+            last_event_ms=START_MS + began_ms,
             reading=ReadingPlan(self._readers),
         )
 
@@ -164,7 +164,7 @@
         def take_over(now_ms: int) -> None:
             waiting = list(self.plan.waiters)
             self.plan = self._make_plan(0)
-            self.plan.heard_ms = START_MS + now_ms
+            self.plan.last_event_ms = START_MS + now_ms
             self._report(now_ms)
             for request_id in waiting:
                 asks_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, RESEND_MS)
--- a/saffronworks/tests/share_load.py
+++ b/saffronworks/tests/share_load.py
@@ -45,7 +45,7 @@
 
     def _new_plan(self, now_ms):
         now_ms += START_MS
-        plan = core.PlanState(now_ms, CAPACITY_TOKENS, 12, heard_ms=now_ms, nodes=("n",))
+        plan = core.PlanState(now_ms, CAPACITY_TOKENS, 12, last_event_ms=now_ms, nodes=("n",))
         plan.reading = ReadingPlan({f"p{index}": "z" for index in range(8)})
         return plan
 
