--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -16,7 +16,7 @@
     ReportWanted,
 )
 from saffronworks.forwarding.planning.order import Waiter, WaiterOrder
-from saffronworks.forwarding.planning.prefill import ReadingPlan
+from saffronworks.forwarding.planning.prefill import PrefillPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.runs import Occupancies, Occupancy, Run, projected_peak
 from saffronworks.forwarding.planning.speeds import EndpointSpeeds
@@ -69,7 +69,7 @@
     reported_ms: dict[str, int] = attrs.Factory(dict)
     next_return_ms: dict[int, float] = attrs.Factory(dict)
     last_event_ms: int = 0
-    reading: ReadingPlan = attrs.Factory(ReadingPlan)
+    reading: PrefillPlan = attrs.Factory(PrefillPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
     speeds: EndpointSpeeds = attrs.Factory(EndpointSpeeds)
     ejections: EjectionTable = attrs.Factory(EjectionTable)
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -14,11 +14,11 @@
 )
 from saffronworks.forwarding.starts import StartId
 
-__all__ = ["ReadingPlan"]
+__all__ = ["PrefillPlan"]
 
 
 @attrs.define
-class ReadingPlan:
+class PrefillPlan:
     """Readers by instance, with their zones.
 
     Where all of them are busy for long, or there are none, decode endpoints read by themselves,
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -5,7 +5,7 @@
 from memory_steps import START_MS, ask, granted, warm_plan
 
 from saffronworks.forwarding.planning import core, messages, runs
-from saffronworks.forwarding.planning.prefill import ReadingPlan
+from saffronworks.forwarding.planning.prefill import PrefillPlan
 from saffronworks.forwarding.planning.prefill_queues import ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     EJECTION_MS,
@@ -61,7 +61,7 @@
 
 @then("a reader that takes long gets fewer prompts")
 def slow_reader(context):
-    reading = ReadingPlan({"quick": "z", "slow": "z"})
+    reading = PrefillPlan({"quick": "z", "slow": "z"})
     for _ in range(9):
         reading.pace.learn("slow", 5000, 400)
         reading.pace.learn("quick", 5000, 100)
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.forwarding.planning import core, messages, plans, runs
-from saffronworks.forwarding.planning.prefill import ReadingPlan
+from saffronworks.forwarding.planning.prefill import PrefillPlan
 from saffronworks.forwarding.planning.tuning import (
     EJECTION_MS,
     FIRST_REJECTION_MS,
@@ -55,7 +55,7 @@
         capacity_tokens=CAPACITY,
         slots=SLOTS,
         last_event_ms=START_MS,
-        reading=ReadingPlan({f"p{index}": "z" for index in range(MANY_READERS)}),
+        reading=PrefillPlan({f"p{index}": "z" for index in range(MANY_READERS)}),
     )
 
 
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -13,7 +13,7 @@
 import attrs
 
 from saffronworks.forwarding.planning import core, messages
-from saffronworks.forwarding.planning.prefill import ReadingPlan
+from saffronworks.forwarding.planning.prefill import PrefillPlan
 from saffronworks.forwarding.planning.priorities import DEFAULT_RANK
 from saffronworks.forwarding.planning.tuning import (
     PLAN_EVERY_MS,
@@ -152,7 +152,7 @@
             capacity_tokens=self.shape.capacity_tokens,
             slots=self.shape.slots,
             last_event_ms=START_MS + began_ms,
-            reading=ReadingPlan(self._readers),
+            reading=PrefillPlan(self._readers),
         )
 
     def lose_planner(self, lost_ms: int) -> None:
--- a/saffronworks/tests/share_load.py
+++ b/saffronworks/tests/share_load.py
@@ -7,7 +7,7 @@
 import attrs
 
 from saffronworks.forwarding.planning import core, messages
-from saffronworks.forwarding.planning.prefill import ReadingPlan
+from saffronworks.forwarding.planning.prefill import PrefillPlan
 from saffronworks.forwarding.planning.tuning import PLAN_EVERY_MS, REPORT_EVERY_MS
 
 START_MS = 10_000
@@ -46,7 +46,7 @@
     def _new_plan(self, now_ms):
         now_ms += START_MS
         plan = core.PlanState(now_ms, CAPACITY_TOKENS, 12, last_event_ms=now_ms, nodes=("n",))
-        plan.reading = ReadingPlan({f"p{index}": "z" for index in range(8)})
+        plan.reading = PrefillPlan({f"p{index}": "z" for index in range(8)})
         return plan
 
     def at(self, at_ms, *action):
