--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.prefill_queues import ReaderQueue, ReadingPace
+from saffronworks.forwarding.planning.prefill_queues import PrefillQueue, ReadingPace
 from saffronworks.forwarding.planning.tuning import (
     CROSS_ZONE_PENALTY_MS,
     LOCAL_PREFILL_FACTOR,
@@ -28,7 +28,7 @@
 
     readers: dict[StartId, str] = attrs.Factory(dict)
     pace: ReadingPace = attrs.Factory(ReadingPace)
-    _queues: dict[StartId, ReaderQueue] = attrs.Factory(dict)
+    _queues: dict[StartId, PrefillQueue] = attrs.Factory(dict)
 
     def backlog_ms(self, instance: StartId, now_ms: int) -> float:
         """How long an endpoint is foreseen to be busy with reading."""
@@ -78,7 +78,7 @@
 
     def count(self, request_id: str, instance: StartId, prompt_tokens: int, now_ms: int) -> None:
         """A prompt is to be read there."""
-        queue = self._queues.setdefault(instance, ReaderQueue())
+        queue = self._queues.setdefault(instance, PrefillQueue())
         read_ms = self.read_ms(instance, prompt_tokens)
         if instance in self.readers:
             queue.add(request_id, prompt_tokens, read_ms, now_ms)
--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -13,7 +13,7 @@
     SAMPLE_WEIGHT,
 )
 
-__all__ = ["ReaderQueue", "ReadingPace"]
+__all__ = ["PrefillQueue", "ReadingPace"]
 
 
 @attrs.define
@@ -76,7 +76,7 @@
 
 
 @attrs.define
-class ReaderQueue:
+class PrefillQueue:
     """What one reader has to read, in the order of the grants.
 
     `free_at_ms` is when it is foreseen to have read all of it. Each prompt that comes back sets the
