--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from saffronworks.forwarding.planning.prefill_queues import PrefillQueue, ReadingPace
+from saffronworks.forwarding.planning.prefill_queues import PrefillPace, PrefillQueue
 from saffronworks.forwarding.planning.tuning import (
     CROSS_ZONE_PENALTY_MS,
     LOCAL_PREFILL_FACTOR,
@@ -27,7 +27,7 @@
     """
 
     readers: dict[StartId, str] = attrs.Factory(dict)
-    pace: ReadingPace = attrs.Factory(ReadingPace)
+    pace: PrefillPace = attrs.Factory(PrefillPace)
     _queues: dict[StartId, PrefillQueue] = attrs.Factory(dict)
 
     def backlog_ms(self, instance: StartId, now_ms: int) -> float:
--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -13,7 +13,7 @@
     SAMPLE_WEIGHT,
 )
 
-__all__ = ["PrefillQueue", "ReadingPace"]
+__all__ = ["PrefillQueue", "PrefillPace"]
 
 
 @attrs.define
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class ReadingPace:
+class PrefillPace:
     """How long a prompt token occupies a reader: all of them, and each of those that were seen.
 
     Only what a busy reader finishes tells that. The time until a prompt is back holds the calls,
@@ -116,7 +116,7 @@
             self.free_at_ms -= prompt.tokens * ms_per_token
             self._forget_pace()
 
-    def finish(self, request_id: str, reader: StartId, pace: ReadingPace, now_ms: int) -> None:
+    def finish(self, request_id: str, reader: StartId, pace: PrefillPace, now_ms: int) -> None:
         """A prompt is back; the time since the one before tells the pace, if it was waiting."""
         first = next(iter(self._prompts), None)
         prompt = self._prompts.pop(request_id, None)
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -6,7 +6,7 @@
 
 from saffronworks.forwarding.planning import core, messages, runs
 from saffronworks.forwarding.planning.prefill import PrefillPlan
-from saffronworks.forwarding.planning.prefill_queues import ReadingPace
+from saffronworks.forwarding.planning.prefill_queues import PrefillPace
 from saffronworks.forwarding.planning.tuning import (
     EJECTION_MS,
     PREFILL_MS_PER_TOKEN,
@@ -74,7 +74,7 @@
 
 @then("prompts without tokens leave its pace as it is")
 def empty_prompts(context):
-    pace = ReadingPace()
+    pace = PrefillPace()
     for _ in range(5000):
         pace.learn("p0", 0, 20)
     assert pace.of("p0") == pace.ms_per_token == PREFILL_MS_PER_TOKEN
