--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -154,7 +154,7 @@
     """A run that is over, with what was still to be read for it."""
     run = state.runs.pop(request_id, None)
     if run is not None and run.reader is not None:
-        state.reading.uncount(request_id, run.reader)
+        state.prefill.uncount(request_id, run.reader)
     return run
 
 
@@ -179,9 +179,9 @@
     if run is None or run.reader is None:
         return
     if event.whole and event.reader == run.reader:
-        state.reading.finish(event.request_id, run.reader, now_ms)
+        state.prefill.finish(event.request_id, run.reader, now_ms)
     else:
-        state.reading.uncount(event.request_id, run.reader)
+        state.prefill.uncount(event.request_id, run.reader)
 
 
 def _take_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
@@ -203,7 +203,7 @@
         if known is None or known.instance != live.instance:
             known = state.runs[live.request_id] = _from_report(live, report.reply_to, now_ms)
         if live.made_tokens and known.reader is not None:
-            state.reading.uncount(live.request_id, known.reader)
+            state.prefill.uncount(live.request_id, known.reader)
         known.listed = True
         _take_progress(state, known, live, now_ms)
         if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
@@ -254,7 +254,7 @@
     offers = state.order.offers(state.waiters.values(), now_ms)
     for waiter in islice(offers, MAX_EXAMINED):
         ask = waiter.ask
-        decoders_read = state.reading.decoders_read(now_ms)
+        decoders_read = state.prefill.decoders_read(now_ms)
         open_to = _open_to(state, reserve, waiter, usable)
         instance = _find_place(state, ask, open_to, decoders_read, now_ms)
         if instance is None:
@@ -263,7 +263,7 @@
             continue
         reader = instance
         if not decoders_read:
-            reader = state.reading.choose(decoders[instance], ask.prompt_tokens, now_ms)
+            reader = state.prefill.choose(decoders[instance], ask.prompt_tokens, now_ms)
         run = Run(
             instance,
             ask.reply_to,
@@ -282,7 +282,7 @@
         del state.waiters[ask.request_id]
         state.order.note_grant(waiter, state.waiters.values(), now_ms)
         state.shares.note_grant(ask, now_ms)
-        state.reading.count(ask.request_id, reader, ask.prompt_tokens, now_ms)
+        state.prefill.count(ask.request_id, reader, ask.prompt_tokens, now_ms)
         grant = MemoryGrant(ask.request_id, instance, reader)
         replies.append(Reply(ask.reply_to, grant, waiter.priority))
     if reserve is not None:
@@ -313,6 +313,6 @@
     if not decoders_read:
         return state.fit(ask, usable)
     idle = {
-        name: held for name, held in usable.items() if state.reading.backlog_ms(name, now_ms) == 0
+        name: held for name, held in usable.items() if state.prefill.backlog_ms(name, now_ms) == 0
     }
     return state.fit(ask, idle, state.own_read_share)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -69,7 +69,7 @@
     reported_ms: dict[str, int] = attrs.Factory(dict)
     next_return_ms: dict[int, float] = attrs.Factory(dict)
     last_event_ms: int = 0
-    reading: PrefillPlan = attrs.Factory(PrefillPlan)
+    prefill: PrefillPlan = attrs.Factory(PrefillPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
     speeds: EndpointSpeeds = attrs.Factory(EndpointSpeeds)
     ejections: EjectionTable = attrs.Factory(EjectionTable)
@@ -107,7 +107,7 @@
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of endpoints that are gone."""
         self.ejections.forget_all_but(instances)
-        self.reading.forget_all_but(instances)
+        self.prefill.forget_all_but(instances)
         self.speeds.forget_all_but(instances)
         for instance in self.full_until_ms.keys() - instances:
             del self.full_until_ms[instance]
@@ -134,7 +134,7 @@
     @property
     def own_read_share(self) -> float:
         """Up to which share of its planned memory a decode endpoint reads by itself."""
-        return LOCAL_PREFILL_MEMORY_SHARE if self.reading.readers else 1.0
+        return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.readers else 1.0
 
     def own_readers(self, usable: Occupancies) -> list[StartId]:
         """The decode endpoints that have the memory to read by themselves."""
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -118,7 +118,7 @@
         listed = self._directory.usable(service, now_ms, Role.PREFILL)
         readers = {endpoint.instance: endpoint.zone for endpoint in listed}
         names = plan.ejections.usable(readers, now_ms)
-        plan.reading.readers = {name: readers[name] for name in names}
+        plan.prefill.readers = {name: readers[name] for name in names}
         replies = core.step(plan, event, decoders, now_ms)
         decisions = plan.shares.take_decisions()
         for reply in replies:
@@ -214,9 +214,9 @@
                 _show(_kept(plan)),
                 len(plan.runs),
                 plan.ms_per_token,
-                plan.reading.pace.ms_per_token,
-                len(plan.reading.readers),
-                plan.reading.readers_free_in_ms(kernel.now_ms()),
+                plan.prefill.pace.ms_per_token,
+                len(plan.prefill.readers),
+                plan.prefill.readers_free_in_ms(kernel.now_ms()),
                 self._directory.revision,
                 _show_share(decisions.get(reply.message.request_id)),
             )
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -116,10 +116,10 @@
 @given("a plan that granted a place where there was no room")
 def no_room(context):
     plan = context.plan = warm_plan()
-    plan.reading.readers = {"p0": "z"}
+    plan.prefill.readers = {"p0": "z"}
     plan.runs["old"] = runs.Run("d0", "n1", 100, 100, 100, START_MS)
     first = granted(core.step(plan, ask("a"), {"d0": "z"}, START_MS))
-    assert first[0].instance == "d0" and plan.reading.backlog_ms("p0", START_MS) > 0
+    assert first[0].instance == "d0" and plan.prefill.backlog_ms("p0", START_MS) > 0
     again = core.step(plan, ask("a", avoid=("d0",)), {"d0": "z"}, START_MS + 5)
     assert granted(again) == []
 
@@ -136,5 +136,5 @@
 @then("the reader is not taken for busy with the prompt")
 def not_busy(context):
     context.plan.runs.clear()
-    one_prompt_ms = context.plan.reading.read_ms("p0", 5000)
-    assert context.plan.reading.backlog_ms("p0", START_MS + 7) <= one_prompt_ms
+    one_prompt_ms = context.plan.prefill.read_ms("p0", 5000)
+    assert context.plan.prefill.backlog_ms("p0", START_MS + 7) <= one_prompt_ms
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -42,7 +42,7 @@
     for load, outcomes in context.plays:
         read = [o for o in outcomes if o.reader.startswith("p")]
         assert len(read) >= 0.8 * len(outcomes), (len(read), len(outcomes))
-        pace = load.plan.reading.pace.ms_per_token
+        pace = load.plan.prefill.pace.ms_per_token
         assert pace <= 1.25 * load.shape.read_ms_per_token, pace
 
 
@@ -149,7 +149,7 @@
 @then("the pace of the reader is learnt from what it finishes while it is busy")
 def pace_learnt(context):
     for load, _ in context.plays:
-        pace = load.plan.reading.pace.ms_per_token
+        pace = load.plan.prefill.pace.ms_per_token
         assert 0.85 < pace / load.shape.read_ms_per_token < 1.15, pace
 
 
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -62,14 +62,14 @@
     loads.of(before).fail(0, unreachable=True)
     plan.ejections.record_failure(before, 0)
     plan.full_until_ms[before] = 5000
-    plan.reading.readers = {before: "z", later: "z"}
-    plan.reading.count("r1", before, 5000, 0)
-    plan.reading.pace.learn(before, 5000, 900.0)
+    plan.prefill.readers = {before: "z", later: "z"}
+    plan.prefill.count("r1", before, 5000, 0)
+    plan.prefill.pace.learn(before, 5000, 900.0)
     assert loads.of(later).circuit.admits(0) and not loads.of(before).circuit.admits(0)
     assert plan.ejections.usable([before, later], 1) == [later]
     assert set(plan.occupancies({later: "z"}, 1)) == {later}
-    assert plan.reading.backlog_ms(later, 1) == 0 < plan.reading.backlog_ms(before, 1)
-    assert set(plan.reading.pace._of_reader) == {before}
+    assert plan.prefill.backlog_ms(later, 1) == 0 < plan.prefill.backlog_ms(before, 1)
+    assert set(plan.prefill.pace._of_reader) == {before}
 
 
 @then("an earlier start that is heard of late never takes its place")
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -28,7 +28,7 @@
         return []
     per_s, usable = rejections.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     own_readers = state.own_readers(usable)
-    reading_at_ms = now_ms + state.reading.wait_ms(own_readers, now_ms)
+    reading_at_ms = now_ms + state.prefill.wait_ms(own_readers, now_ms)
     replies, before = [], 0
     for waiter in _ranked(state.order, state.waiters.values(), now_ms):
         memory_ms = 0.0 if state.fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
@@ -39,7 +39,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before += 1
-        reading_at_ms += state.reading.turn_ms(waiter.ask.prompt_tokens, own_readers)
+        reading_at_ms += state.prefill.turn_ms(waiter.ask.prompt_tokens, own_readers)
     return replies
 
 
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -152,7 +152,7 @@
             capacity_tokens=self.shape.capacity_tokens,
             slots=self.shape.slots,
             last_event_ms=START_MS + began_ms,
-            reading=PrefillPlan(self._readers),
+            prefill=PrefillPlan(self._readers),
         )
 
     def lose_planner(self, lost_ms: int) -> None:
--- a/saffronworks/tests/share_load.py
+++ b/saffronworks/tests/share_load.py
@@ -46,7 +46,7 @@
     def _new_plan(self, now_ms):
         now_ms += START_MS
         plan = core.PlanState(now_ms, CAPACITY_TOKENS, 12, last_event_ms=now_ms, nodes=("n",))
-        plan.reading = PrefillPlan({f"p{index}": "z" for index in range(8)})
+        plan.prefill = PrefillPlan({f"p{index}": "z" for index in range(8)})
         return plan
 
     def at(self, at_ms, *action):
