--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -134,7 +134,7 @@
     @property
     def own_read_share(self) -> float:
         """Up to which share of its planned memory a decode endpoint reads by itself."""
-        return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.readers else 1.0
+        return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.prefillers else 1.0
 
     def own_readers(self, usable: Occupancies) -> list[StartId]:
         """The decode endpoints that have the memory to read by themselves."""
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -26,7 +26,7 @@
     that no run pauses for long.
     """
 
-    readers: dict[StartId, str] = attrs.Factory(dict)
+    prefillers: dict[StartId, str] = attrs.Factory(dict)
     pace: PrefillPace = attrs.Factory(PrefillPace)
     _queues: dict[StartId, PrefillQueue] = attrs.Factory(dict)
 
@@ -39,11 +39,11 @@
         """The reader that is done first, a nearer one if it is hardly later; there must be one."""
 
         def cost(reader: StartId) -> tuple[float, StartId]:
-            away_ms = 0.0 if self.readers[reader] == zone else CROSS_ZONE_PENALTY_MS
+            away_ms = 0.0 if self.prefillers[reader] == zone else CROSS_ZONE_PENALTY_MS
             done_ms = self.backlog_ms(reader, now_ms) + self.read_ms(reader, prompt_tokens)
             return done_ms + away_ms, reader
 
-        return min(self.readers, key=cost)
+        return min(self.prefillers, key=cost)
 
     def decoders_read(self, now_ms: int) -> bool:
         """Whether decode endpoints read by themselves: no reader is free soon, or there is none."""
@@ -56,23 +56,23 @@
 
     def _readers_wait_ms(self, now_ms: int) -> float:
         """How long until a reader is free soon enough; for ever without any."""
-        if not self.readers:
+        if not self.prefillers:
             return math.inf
         return max(0.0, self.readers_free_in_ms(now_ms) - MAX_PREFILL_BACKLOG_MS)
 
     def readers_free_in_ms(self, now_ms: int) -> float:
         """How long until the first reader has read all it has before it; 0 without any."""
-        return min((self.backlog_ms(name, now_ms) for name in self.readers), default=0.0)
+        return min((self.backlog_ms(name, now_ms) for name in self.prefillers), default=0.0)
 
     def read_ms(self, instance: StartId, prompt_tokens: int) -> float:
         """How long this endpoint is busy with a prompt."""
-        if instance in self.readers:
+        if instance in self.prefillers:
             return prompt_tokens * self.pace.of(instance)
         return LOCAL_PREFILL_FACTOR * prompt_tokens * self.pace.ms_per_token + LOCAL_PREFILL_GAP_MS
 
     def turn_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
         """How much later the next prompt is read when this one goes before it."""
-        read_ms = [self.read_ms(name, prompt_tokens) for name in (*self.readers, *decoders)]
+        read_ms = [self.read_ms(name, prompt_tokens) for name in (*self.prefillers, *decoders)]
         per_ms = sum(1 / max(1.0, each_ms) for each_ms in read_ms)
         return 1 / per_ms if per_ms else 0.0
 
@@ -80,7 +80,7 @@
         """A prompt is to be read there."""
         queue = self._queues.setdefault(instance, PrefillQueue())
         read_ms = self.read_ms(instance, prompt_tokens)
-        if instance in self.readers:
+        if instance in self.prefillers:
             queue.add(request_id, prompt_tokens, read_ms, now_ms)
         else:
             queue.occupy(read_ms, now_ms)
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -118,7 +118,7 @@
         listed = self._directory.usable(service, now_ms, Role.PREFILL)
         readers = {endpoint.instance: endpoint.zone for endpoint in listed}
         names = plan.ejections.usable(readers, now_ms)
-        plan.prefill.readers = {name: readers[name] for name in names}
+        plan.prefill.prefillers = {name: readers[name] for name in names}
         replies = core.step(plan, event, decoders, now_ms)
         decisions = plan.shares.take_decisions()
         for reply in replies:
@@ -215,7 +215,7 @@
                 len(plan.runs),
                 plan.ms_per_token,
                 plan.prefill.pace.ms_per_token,
-                len(plan.prefill.readers),
+                len(plan.prefill.prefillers),
                 plan.prefill.readers_free_in_ms(kernel.now_ms()),
                 self._directory.revision,
                 _show_share(decisions.get(reply.message.request_id)),
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -173,7 +173,7 @@
 def play_events(events, organisations, capacity=12_000, slots=12, readers=()):
     """The replies to asks, each followed by a tick or by the end of the oldest run."""
     plan = core.PlanState(0, capacity, slots, last_event_ms=START_MS)
-    plan.prefill.readers = dict.fromkeys(readers, "z")
+    plan.prefill.prefillers = dict.fromkeys(readers, "z")
     now_ms, told = START_MS, []
     for index, (gap_ms, which, tokens, ends) in enumerate(events):
         now_ms += gap_ms
@@ -213,7 +213,7 @@
 
 def roomy_plan(**changes):
     plan = core.PlanState(START_MS, 10**9, 99, last_event_ms=START_MS, **changes)
-    plan.prefill.readers = {"p0": "z"}
+    plan.prefill.prefillers = {"p0": "z"}
     return plan
 
 
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -116,7 +116,7 @@
 @given("a plan that granted a place where there was no room")
 def no_room(context):
     plan = context.plan = warm_plan()
-    plan.prefill.readers = {"p0": "z"}
+    plan.prefill.prefillers = {"p0": "z"}
     plan.runs["old"] = runs.Run("d0", "n1", 100, 100, 100, START_MS)
     first = granted(core.step(plan, ask("a"), {"d0": "z"}, START_MS))
     assert first[0].instance == "d0" and plan.prefill.backlog_ms("p0", START_MS) > 0
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -192,13 +192,13 @@
 @given("a plan with free memory and a single reader")
 def single_reader(context):
     context.plan = warm_plan()
-    context.plan.prefill.readers = {"p0": "z"}
+    context.plan.prefill.prefillers = {"p0": "z"}
 
 
 @then("one who fits is not refused while its reading is foreseen in time")
 def not_refused(context):
     plan = warm_plan()
-    plan.prefill.readers = {"p0": "z"}
+    plan.prefill.prefillers = {"p0": "z"}
     for index in range(5):
         core.step(plan, ask(f"r{index}"), {"d0": "z"}, START_MS)
     waiting = set(plan.waiters)
@@ -209,7 +209,7 @@
 @then("one whom only endpoints short of memory could read for in time is told to return")
 def not_read_in_time(context):
     plan = warm_plan()
-    plan.prefill.readers = {"p0": "z"}
+    plan.prefill.prefillers = {"p0": "z"}
     plan.prefill.count("busy", "p0", 100_000, START_MS)
     taken = int((LOCAL_PREFILL_MEMORY_SHARE + 0.05) * plan.limit_tokens)
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
@@ -245,7 +245,7 @@
 @given("a plan with two readers in different zones")
 def two_readers(context):
     context.plan = warm_plan()
-    context.plan.prefill.readers = {"far": "y", "near": "z"}
+    context.plan.prefill.prefillers = {"far": "y", "near": "z"}
 
 
 @then("prompts go to the nearer one first, then to the one that is free first")
@@ -260,7 +260,7 @@
 @then("without readers each decode endpoint reads one prompt at a time")
 def one_at_a_time(context):
     plan = warm_plan()
-    plan.prefill.readers = {}
+    plan.prefill.prefillers = {}
     decoders = {"d0": "z", "d1": "z"}
     names = []
     for index in range(4):
@@ -279,7 +279,7 @@
 def reads_with_free_memory(context):
     for taken_share, grants in ((0.4, 1), (LOCAL_PREFILL_MEMORY_SHARE, 0)):
         plan = warm_plan()
-        plan.prefill.readers = {"p0": "z"}
+        plan.prefill.prefillers = {"p0": "z"}
         plan.prefill.count("busy", "p0", 50_000, START_MS)
         plan.runs["old"] = runs.Run("d0", "n1", int(taken_share * CAPACITY), 10, 10, START_MS)
         got = granted(core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS))
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -45,7 +45,7 @@
 def play(moves, priority):
     """Replies to a sequence of events, and who waits at its end."""
     plan, now_ms, replies, asked = warm_plan(), START_MS, [], 0
-    plan.capacity_tokens, plan.prefill.readers = 20_000, {"p0": "z"}
+    plan.capacity_tokens, plan.prefill.prefillers = 20_000, {"p0": "z"}
     for what, span_ms, tokens, in_time_ms, returned in moves:
         now_ms += span_ms
         match what:
