--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -47,14 +47,14 @@
 
     def decoders_read(self, now_ms: int) -> bool:
         """Whether decode endpoints read by themselves: no reader is free soon, or there is none."""
-        return self._readers_wait_ms(now_ms) > 0
+        return self._prefillers_wait_ms(now_ms) > 0
 
     def wait_ms(self, decoders: Iterable[StartId], now_ms: int) -> float:
         """How long until a prompt would be read soon by the first that is free for it."""
         own_ms = min((self.backlog_ms(name, now_ms) for name in decoders), default=math.inf)
-        return min(self._readers_wait_ms(now_ms), own_ms)
+        return min(self._prefillers_wait_ms(now_ms), own_ms)
 
-    def _readers_wait_ms(self, now_ms: int) -> float:
+    def _prefillers_wait_ms(self, now_ms: int) -> float:
         """How long until a reader is free soon enough; for ever without any."""
         if not self.prefillers:
             return math.inf
