--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -58,9 +58,9 @@
         """How long until a reader is free soon enough; for ever without any."""
         if not self.prefillers:
             return math.inf
-        return max(0.0, self.readers_free_in_ms(now_ms) - MAX_PREFILL_BACKLOG_MS)
+        return max(0.0, self.prefillers_free_in_ms(now_ms) - MAX_PREFILL_BACKLOG_MS)
 
-    def readers_free_in_ms(self, now_ms: int) -> float:
+    def prefillers_free_in_ms(self, now_ms: int) -> float:
         """How long until the first reader has read all it has before it; 0 without any."""
         return min((self.backlog_ms(name, now_ms) for name in self.prefillers), default=0.0)
 
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -216,7 +216,7 @@
                 plan.ms_per_token,
                 plan.prefill.pace.ms_per_token,
                 len(plan.prefill.prefillers),
-                plan.prefill.readers_free_in_ms(kernel.now_ms()),
+                plan.prefill.prefillers_free_in_ms(kernel.now_ms()),
                 self._directory.revision,
                 _show_share(decisions.get(reply.message.request_id)),
             )
