--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -254,15 +254,15 @@
     offers = state.order.offers(state.waiters.values(), now_ms)
     for waiter in islice(offers, MAX_EXAMINED):
         ask = waiter.ask
-        decoders_read = state.prefill.decoders_read(now_ms)
+        uses_local_prefill = state.prefill.uses_local_prefill(now_ms)
         open_to = _open_to(state, reserve, waiter, usable)
-        instance = _find_place(state, ask, open_to, decoders_read, now_ms)
+        instance = _find_place(state, ask, open_to, uses_local_prefill, now_ms)
         if instance is None:
             if reserve is not None and not waiter.is_late(now_ms):
                 reserve.keep(waiter, usable)
             continue
         reader = instance
-        if not decoders_read:
+        if not uses_local_prefill:
             reader = state.prefill.choose(decoders[instance], ask.prompt_tokens, now_ms)
         run = Run(
             instance,
@@ -307,10 +307,10 @@
 
 
 def _find_place(
-    state: PlanState, ask: MemoryAsk, usable: Occupancies, decoders_read: bool, now_ms: int
+    state: PlanState, ask: MemoryAsk, usable: Occupancies, uses_local_prefill: bool, now_ms: int
 ) -> StartId | None:
     """The endpoint for a run, among those whose next prompt would be read soon."""
-    if not decoders_read:
+    if not uses_local_prefill:
         return state.fit(ask, usable)
     idle = {
         name: held for name, held in usable.items() if state.prefill.backlog_ms(name, now_ms) == 0
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -45,7 +45,7 @@
 
         return min(self.prefillers, key=cost)
 
-    def decoders_read(self, now_ms: int) -> bool:
+    def uses_local_prefill(self, now_ms: int) -> bool:
         """Whether decode endpoints read by themselves: no reader is free soon, or there is none."""
         return self._prefillers_wait_ms(now_ms) > 0
 
