--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -40,7 +40,7 @@
 
         def cost(reader: StartId) -> tuple[float, StartId]:
             away_ms = 0.0 if self.prefillers[reader] == zone else CROSS_ZONE_PENALTY_MS
-            done_ms = self.backlog_ms(reader, now_ms) + self.read_ms(reader, prompt_tokens)
+            done_ms = self.backlog_ms(reader, now_ms) + self.prefill_ms(reader, prompt_tokens)
             return done_ms + away_ms, reader
 
         return min(self.prefillers, key=cost)
@@ -64,7 +64,7 @@
         """How long until the first reader has read all it has before it; 0 without any."""
         return min((self.backlog_ms(name, now_ms) for name in self.prefillers), default=0.0)
 
-    def read_ms(self, instance: StartId, prompt_tokens: int) -> float:
+    def prefill_ms(self, instance: StartId, prompt_tokens: int) -> float:
         """How long this endpoint is busy with a prompt."""
         if instance in self.prefillers:
             return prompt_tokens * self.pace.of(instance)
@@ -72,18 +72,20 @@
 
     def turn_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
         """How much later the next prompt is read when this one goes before it."""
-        read_ms = [self.read_ms(name, prompt_tokens) for name in (*self.prefillers, *decoders)]
-        per_ms = sum(1 / max(1.0, each_ms) for each_ms in read_ms)
+        prefill_ms = [
+            self.prefill_ms(name, prompt_tokens) for name in (*self.prefillers, *decoders)
+        ]
+        per_ms = sum(1 / max(1.0, each_ms) for each_ms in prefill_ms)
         return 1 / per_ms if per_ms else 0.0
 
     def count(self, request_id: str, instance: StartId, prompt_tokens: int, now_ms: int) -> None:
         """A prompt is to be read there."""
         queue = self._queues.setdefault(instance, PrefillQueue())
-        read_ms = self.read_ms(instance, prompt_tokens)
+        prefill_ms = self.prefill_ms(instance, prompt_tokens)
         if instance in self.prefillers:
-            queue.add(request_id, prompt_tokens, read_ms, now_ms)
+            queue.add(request_id, prompt_tokens, prefill_ms, now_ms)
         else:
-            queue.occupy(read_ms, now_ms)
+            queue.occupy(prefill_ms, now_ms)
 
     def uncount(self, request_id: str, instance: StartId) -> None:
         """A prompt that was counted is not to be read there after all."""
--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -100,14 +100,14 @@
         overdue_tokens = sum(prompt.tokens for prompt in list(self._prompts.values())[1:])
         return max(0.0, self.free_at_ms - now_ms, overdue_tokens * ms_per_token)
 
-    def add(self, request_id: str, tokens: int, read_ms: float, now_ms: int) -> None:
+    def add(self, request_id: str, tokens: int, prefill_ms: float, now_ms: int) -> None:
         """A prompt is to be read after the others."""
-        self.occupy(read_ms, now_ms)
+        self.occupy(prefill_ms, now_ms)
         self._prompts[request_id] = _Prompt(tokens, now_ms, self.free_at_ms)
 
-    def occupy(self, read_ms: float, now_ms: int) -> None:
+    def occupy(self, prefill_ms: float, now_ms: int) -> None:
         """A prompt is to be read by an endpoint that will not tell when it is done."""
-        self.free_at_ms = max(self.free_at_ms, now_ms) + read_ms
+        self.free_at_ms = max(self.free_at_ms, now_ms) + prefill_ms
 
     def drop(self, request_id: str, ms_per_token: float) -> None:
         """A prompt is not to be read here after all."""
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -136,5 +136,5 @@
 @then("the reader is not taken for busy with the prompt")
 def not_busy(context):
     context.plan.runs.clear()
-    one_prompt_ms = context.plan.prefill.read_ms("p0", 5000)
+    one_prompt_ms = context.plan.prefill.prefill_ms("p0", 5000)
     assert context.plan.prefill.backlog_ms("p0", START_MS + 7) <= one_prompt_ms
