--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -70,7 +70,7 @@
             return prompt_tokens * self.pace.of(instance)
         return LOCAL_PREFILL_FACTOR * prompt_tokens * self.pace.ms_per_token + LOCAL_PREFILL_GAP_MS
 
-    def turn_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
+    def added_wait_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
         """How much later the next prompt is read when this one goes before it."""
         prefill_ms = [
             self.prefill_ms(name, prompt_tokens) for name in (*self.prefillers, *decoders)
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -73,7 +73,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before[waiter.priority] += 1
-        reading_at_ms += state.prefill.turn_ms(waiter.ask.prompt_tokens, own_readers)
+        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, own_readers)
     return replies
 
 
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -39,7 +39,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before += 1
-        reading_at_ms += state.prefill.turn_ms(waiter.ask.prompt_tokens, own_readers)
+        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, own_readers)
     return replies
 
 
