--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -154,7 +154,7 @@
     """A run that is over, with what was still to be read for it."""
     run = state.runs.pop(request_id, None)
     if run is not None and run.reader is not None:
-        state.prefill.uncount(request_id, run.reader)
+        state.prefill.remove(request_id, run.reader)
     return run
 
 
@@ -181,7 +181,7 @@
     if event.whole and event.reader == run.reader:
         state.prefill.finish(event.request_id, run.reader, now_ms)
     else:
-        state.prefill.uncount(event.request_id, run.reader)
+        state.prefill.remove(event.request_id, run.reader)
 
 
 def _take_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
@@ -203,7 +203,7 @@
         if known is None or known.instance != live.instance:
             known = state.runs[live.request_id] = _from_report(live, report.reply_to, now_ms)
         if live.made_tokens and known.reader is not None:
-            state.prefill.uncount(live.request_id, known.reader)
+            state.prefill.remove(live.request_id, known.reader)
         known.listed = True
         _take_progress(state, known, live, now_ms)
         if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -87,7 +87,7 @@
         else:
             queue.occupy(prefill_ms, now_ms)
 
-    def uncount(self, request_id: str, instance: StartId) -> None:
+    def remove(self, request_id: str, instance: StartId) -> None:
         """A prompt that was counted is not to be read there after all."""
         if instance in self._queues:
             self._queues[instance].drop(request_id, self.pace.of(instance))
