--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -282,7 +282,7 @@
         del state.waiters[ask.request_id]
         state.order.note_grant(waiter, state.waiters.values(), now_ms)
         state.shares.note_grant(ask, now_ms)
-        state.prefill.count(ask.request_id, reader, ask.prompt_tokens, now_ms)
+        state.prefill.add(ask.request_id, reader, ask.prompt_tokens, now_ms)
         grant = MemoryGrant(ask.request_id, instance, reader)
         replies.append(Reply(ask.reply_to, grant, waiter.priority))
     if reserve is not None:
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -78,7 +78,7 @@
         per_ms = sum(1 / max(1.0, each_ms) for each_ms in prefill_ms)
         return 1 / per_ms if per_ms else 0.0
 
-    def count(self, request_id: str, instance: StartId, prompt_tokens: int, now_ms: int) -> None:
+    def add(self, request_id: str, instance: StartId, prompt_tokens: int, now_ms: int) -> None:
         """A prompt is to be read there."""
         queue = self._queues.setdefault(instance, PrefillQueue())
         prefill_ms = self.prefill_ms(instance, prompt_tokens)
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -68,7 +68,7 @@
     given_to = []
     for index in range(5):
         given_to.append(reading.choose("z", 2000, START_MS))
-        reading.count(f"r{index}", given_to[-1], 2000, START_MS)
+        reading.add(f"r{index}", given_to[-1], 2000, START_MS)
     assert given_to.count("quick") == 4, given_to
 
 
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -210,7 +210,7 @@
 def not_read_in_time(context):
     plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
-    plan.prefill.count("busy", "p0", 100_000, START_MS)
+    plan.prefill.add("busy", "p0", 100_000, START_MS)
     taken = int((LOCAL_PREFILL_MEMORY_SHARE + 0.05) * plan.limit_tokens)
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
     core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS)
@@ -280,7 +280,7 @@
     for taken_share, grants in ((0.4, 1), (LOCAL_PREFILL_MEMORY_SHARE, 0)):
         plan = warm_plan()
         plan.prefill.prefillers = {"p0": "z"}
-        plan.prefill.count("busy", "p0", 50_000, START_MS)
+        plan.prefill.add("busy", "p0", 50_000, START_MS)
         plan.runs["old"] = runs.Run("d0", "n1", int(taken_share * CAPACITY), 10, 10, START_MS)
         got = granted(core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS))
         assert [grant.reader for grant in got] == ["d0"] * grants, (taken_share, got)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -63,7 +63,7 @@
     plan.ejections.record_failure(before, 0)
     plan.full_until_ms[before] = 5000
     plan.prefill.prefillers = {before: "z", later: "z"}
-    plan.prefill.count("r1", before, 5000, 0)
+    plan.prefill.add("r1", before, 5000, 0)
     plan.prefill.pace.learn(before, 5000, 900.0)
     assert loads.of(later).circuit.admits(0) and not loads.of(before).circuit.admits(0)
     assert plan.ejections.usable([before, later], 1) == [later]
