--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -64,14 +64,14 @@
     state.last_event_ms = now_ms
     match event:
         case MemoryAsk():
-            if not state.whole(now_ms) and not state.hears(now_ms):
+            if not state.is_complete(now_ms) and not state.hears(now_ms):
                 return [*replies, Reply(event.reply_to, MemoryDirect(event.request_id))]
             repeated = event.request_id in state.waiters
             _enqueue(state, event, now_ms)
             replies.append(Reply(event.reply_to, MemoryQueued(event.request_id)))
             # A repeated ask frees no memory. In a burst there are hundreds a second, and a look
             # for places at each of them kept the planner busy for most of the time.
-            if repeated and state.whole(now_ms):
+            if repeated and state.is_complete(now_ms):
                 return replies
         case MemoryRelease():
             _release(state, event, now_ms)
@@ -82,7 +82,7 @@
             _end_reading(state, event, now_ms)
         case Tick():
             _lapse(state, now_ms)
-    if not state.whole(now_ms):
+    if not state.is_complete(now_ms):
         return replies if state.hears(now_ms) else [*replies, *_send_on(state)]
     state.shares.look(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -83,7 +83,7 @@
     def _order_by_shares(self) -> WaiterOrder:
         return WaiterOrder(self.shares.excess)
 
-    def whole(self, now_ms: int) -> bool:
+    def is_complete(self, now_ms: int) -> bool:
         """Whether all runs are known: each node has told its own, or time enough has passed.
 
         Waiting out the time each time that a plan began left all nodes without one for 0.9 s after
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -70,9 +70,9 @@
     assert after_ms - state.duty_seen_ms > role_core.CONFIRMED_MS
     plan = PlanState(before_ms - 5000, 90_000, 8)
     plan.last_event_ms = before_ms
-    assert plan.whole(before_ms)
+    assert plan.is_complete(before_ms)
     plan_step(plan, Tick(), {}, after_ms)
-    assert not plan.whole(after_ms), "what nodes did meanwhile is not known"
+    assert not plan.is_complete(after_ms), "what nodes did meanwhile is not known"
     assert context.idle is None, "the endpoint has closed it long ago"
 
 
