--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -64,7 +64,7 @@
     state.last_event_ms = now_ms
     match event:
         case MemoryAsk():
-            if not state.is_complete(now_ms) and not state.hears(now_ms):
+            if not state.is_complete(now_ms) and not state.awaits_reports(now_ms):
                 return [*replies, Reply(event.reply_to, MemoryDirect(event.request_id))]
             repeated = event.request_id in state.waiters
             _enqueue(state, event, now_ms)
@@ -83,7 +83,7 @@
         case Tick():
             _lapse(state, now_ms)
     if not state.is_complete(now_ms):
-        return replies if state.hears(now_ms) else [*replies, *_send_on(state)]
+        return replies if state.awaits_reports(now_ms) else [*replies, *_send_on(state)]
     state.shares.look(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
     state.shares.note_unserved(state.waiters)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -94,7 +94,7 @@
         heard = (self.reported_ms.get(node, -1) for node in self.nodes)
         return bool(self.nodes) and all(at_ms >= self.began_ms for at_ms in heard)
 
-    def hears(self, now_ms: int) -> bool:
+    def awaits_reports(self, now_ms: int) -> bool:
         """Whether nodes that were asked what runs there may still answer in a moment."""
         return bool(self.nodes) and now_ms - self.began_ms < REPORTS_WAIT_MS
 
