--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -311,8 +311,8 @@
 ) -> StartId | None:
     """The endpoint for a run, among those whose next prompt would be read soon."""
     if not uses_local_prefill:
-        return state.fit(ask, usable)
+        return state.best_fit(ask, usable)
     idle = {
         name: held for name, held in usable.items() if state.prefill.backlog_ms(name, now_ms) == 0
     }
-    return state.fit(ask, idle, state.own_read_share)
+    return state.best_fit(ask, idle, state.own_read_share)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -141,7 +141,7 @@
         limit = self.own_read_share * self.limit_tokens
         return [name for name, held in usable.items() if held.peak_tokens <= limit]
 
-    def fit(self, ask: MemoryAsk, usable: Occupancies, share: float = 1.0) -> StartId | None:
+    def best_fit(self, ask: MemoryAsk, usable: Occupancies, share: float = 1.0) -> StartId | None:
         """The endpoint whose foreseen peak with this run is lowest, if that is low enough.
 
         Of those with hardly higher peaks, the fastest. `share` of the planned memory is the most
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -63,7 +63,7 @@
     reading_at_ms = now_ms + state.prefill.wait_ms(own_readers, now_ms)
     replies, before = [], Counter[int]()
     for waiter in state.order.forecast(state.waiters.values(), now_ms):
-        fits = state.fit(waiter.ask, usable) is not None
+        fits = state.best_fit(waiter.ask, usable) is not None
         memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, before, per_s, now_ms))
         turn_ms = max(reading_at_ms, memory_at_ms)
         if _must_return(waiter, turn_ms, mixed, now_ms):
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -31,7 +31,7 @@
     reading_at_ms = now_ms + state.prefill.wait_ms(own_readers, now_ms)
     replies, before = [], 0
     for waiter in _ranked(state.order, state.waiters.values(), now_ms):
-        memory_ms = 0.0 if state.fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
+        memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
         if _must_return(waiter, max(reading_at_ms, now_ms + memory_ms), now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _return_after_ms(state, per_s, now_ms)
