--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -315,4 +315,4 @@
     idle = {
         name: held for name, held in usable.items() if state.prefill.backlog_ms(name, now_ms) == 0
     }
-    return state.best_fit(ask, idle, state.own_read_share)
+    return state.best_fit(ask, idle, state.local_prefill_share)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -132,13 +132,13 @@
         return usable
 
     @property
-    def own_read_share(self) -> float:
+    def local_prefill_share(self) -> float:
         """Up to which share of its planned memory a decode endpoint reads by itself."""
         return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.prefillers else 1.0
 
     def own_readers(self, usable: Occupancies) -> list[StartId]:
         """The decode endpoints that have the memory to read by themselves."""
-        limit = self.own_read_share * self.limit_tokens
+        limit = self.local_prefill_share * self.limit_tokens
         return [name for name, held in usable.items() if held.peak_tokens <= limit]
 
     def best_fit(self, ask: MemoryAsk, usable: Occupancies, share: float = 1.0) -> StartId | None:
