--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -136,7 +136,7 @@
         """Up to which share of its planned memory a decode endpoint reads by itself."""
         return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.prefillers else 1.0
 
-    def own_readers(self, usable: Occupancies) -> list[StartId]:
+    def local_prefillers(self, usable: Occupancies) -> list[StartId]:
         """The decode endpoints that have the memory to read by themselves."""
         limit = self.local_prefill_share * self.limit_tokens
         return [name for name, held in usable.items() if held.peak_tokens <= limit]
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -59,8 +59,8 @@
     if not any(_is_pending(waiter, mixed, now_ms) for waiter in state.waiters.values()):
         return []
     per_s, usable = ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
-    own_readers = state.own_readers(usable)
-    reading_at_ms = now_ms + state.prefill.wait_ms(own_readers, now_ms)
+    local_prefillers = state.local_prefillers(usable)
+    reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], Counter[int]()
     for waiter in state.order.forecast(state.waiters.values(), now_ms):
         fits = state.best_fit(waiter.ask, usable) is not None
@@ -73,7 +73,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before[waiter.priority] += 1
-        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, own_readers)
+        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
 
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -27,8 +27,8 @@
     if all(now_ms - waiter.arrived_ms < FIRST_REJECTION_MS for waiter in pending):
         return []
     per_s, usable = rejections.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
-    own_readers = state.own_readers(usable)
-    reading_at_ms = now_ms + state.prefill.wait_ms(own_readers, now_ms)
+    local_prefillers = state.local_prefillers(usable)
+    reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], 0
     for waiter in _ranked(state.order, state.waiters.values(), now_ms):
         memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
@@ -39,7 +39,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before += 1
-        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, own_readers)
+        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
 
