--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -67,7 +67,7 @@
     waiters: dict[str, Waiter] = attrs.Factory(dict)
     kept: dict[StartId, int] = attrs.Factory(dict)
     reported_ms: dict[str, int] = attrs.Factory(dict)
-    next_return_ms: dict[int, float] = attrs.Factory(dict)
+    next_retry_ms: dict[int, float] = attrs.Factory(dict)
     last_event_ms: int = 0
     prefill: PrefillPlan = attrs.Factory(PrefillPlan)
     lengths: AnswerLengths = attrs.Factory(AnswerLengths)
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -154,7 +154,7 @@
     if state.order.rates.is_mixed(now_ms):
         earliest_ms = max(earliest_ms, turn_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
-    next_ms = state.next_return_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
+    next_ms = state.next_retry_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
     at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MOST_MS)
-    state.next_return_ms[priority] = at_ms
+    state.next_retry_ms[priority] = at_ms
     return int(at_ms - now_ms)
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -52,10 +52,10 @@
 
 def _return_after_ms(state, per_s, now_ms):
     earliest_ms = now_ms + RETRY_AFTER_LEAST_MS
-    last_ms = state.next_return_ms.get(0, 0.0)
+    last_ms = state.next_retry_ms.get(0, 0.0)
     next_ms = max(earliest_ms, last_ms + 1000 / (RETRY_SHARE * per_s))
-    state.next_return_ms[0] = min(next_ms, now_ms + RETRY_AFTER_MOST_MS)
-    return int(state.next_return_ms[0] - now_ms)
+    state.next_retry_ms[0] = min(next_ms, now_ms + RETRY_AFTER_MOST_MS)
+    return int(state.next_retry_ms[0] - now_ms)
 
 
 @contextlib.contextmanager
