--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -303,7 +303,7 @@
     """The endpoints that may get its run; one whose priority was passed often may use all."""
     if reserve is None or state.order.is_due(waiter.priority, reserve.now_ms):
         return usable
-    return reserve.open_to(waiter.priority, usable)
+    return reserve.eligible(waiter.priority, usable)
 
 
 def _find_place(
--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -33,7 +33,7 @@
         """How many places a priority and more urgent ones need before another place is free."""
         return math.ceil(self.rates.expected(priority + 1, self.next_place_ms, self.now_ms))
 
-    def open_to(self, priority: int, usable: Occupancies) -> Occupancies:
+    def eligible(self, priority: int, usable: Occupancies) -> Occupancies:
         """The endpoints that may get a run of this priority."""
         if not self.kept:
             return usable
