--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -36,7 +36,7 @@
 class PlanWithoutSpeeds(core.PlanState):
     """Chooses as it was done before speeds were known."""
 
-    def fit(self, ask, usable, share=1.0):
+    def best_fit(self, ask, usable, share=1.0):
         limit = share * self.limit_tokens
         more = self.lengths.more_tokens(0.0, ask.likely_tokens, ask.most_tokens)
         best = None
