--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -255,7 +255,7 @@
     for waiter in islice(offers, MAX_EXAMINED):
         ask = waiter.ask
         uses_local_prefill = state.prefill.uses_local_prefill(now_ms)
-        open_to = _open_to(state, reserve, waiter, usable)
+        open_to = _eligible(state, reserve, waiter, usable)
         instance = _find_place(state, ask, open_to, uses_local_prefill, now_ms)
         if instance is None:
             if reserve is not None and not waiter.is_late(now_ms):
@@ -297,7 +297,7 @@
     return Reserve(state.order.rates, 1000 / ends_per_s(state, now_ms), now_ms)
 
 
-def _open_to(
+def _eligible(
     state: PlanState, reserve: Reserve | None, waiter: Waiter, usable: Occupancies
 ) -> Occupancies:
     """The endpoints that may get its run; one whose priority was passed often may use all."""
