--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -35,7 +35,7 @@
         """Whether a grant comes too late for the target."""
         return now_ms > self.in_time_until_ms
 
-    def ends_ms(self, now_ms: int) -> int:
+    def deadline_ms(self, now_ms: int) -> int:
         """When its time is up: that of the target, or of the caller's patience once it is late.
 
         One who was refused early and returned when it was told takes its turn: behind all who come
@@ -124,7 +124,7 @@
     def _sort(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
         def rank(waiter: Waiter) -> tuple[int, float, int]:
             excess = self.excess(waiter.ask.organisation, waiter.priority, now_ms)
-            return waiter.priority, excess, waiter.ends_ms(now_ms)
+            return waiter.priority, excess, waiter.deadline_ms(now_ms)
 
         return sorted(waiters, key=rank)
 
