--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -22,7 +22,7 @@
 
     ask: MemoryAsk
     arrived_ms: int
-    in_time_until_ms: int
+    target_deadline_ms: int
     patient_until_ms: int
     decided: bool = False
 
@@ -33,7 +33,7 @@
 
     def is_late(self, now_ms: int) -> bool:
         """Whether a grant comes too late for the target."""
-        return now_ms > self.in_time_until_ms
+        return now_ms > self.target_deadline_ms
 
     def deadline_ms(self, now_ms: int) -> int:
         """When its time is up: that of the target, or of the caller's patience once it is late.
@@ -41,7 +41,7 @@
         One who was refused early and returned when it was told takes its turn: behind all who come
         first, most of those who returned would be late once more.
         """
-        return self.patient_until_ms if self.is_late(now_ms) else self.in_time_until_ms
+        return self.patient_until_ms if self.is_late(now_ms) else self.target_deadline_ms
 
 
 def count_by_priority(waiters: Iterable[Waiter]) -> dict[int, int]:
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -124,7 +124,7 @@
     max_passes = state.order.rates.max_passes(waiter.priority, now_ms)
     in_turn_ms = 1000 * (before[waiter.priority] + 1) * (max_passes + 1) / per_s
     wait_ms = min(in_order_ms, max(in_turn_ms, 1000 * (before.total() + 1) / per_s))
-    if now_ms + wait_ms <= waiter.in_time_until_ms or not state.order.rates.is_mixed(now_ms):
+    if now_ms + wait_ms <= waiter.target_deadline_ms or not state.order.rates.is_mixed(now_ms):
         return wait_ms
     overloaded = state.order.rates.per_s(math.inf, now_ms) >= per_s
     return wait_ms + OVERLOAD_LASTS_MS if overloaded else wait_ms
@@ -141,7 +141,7 @@
     returned = waiter.ask.returned
     leaves_before = mixed and turn_ms > waiter.patient_until_ms
     waiter.decided = returned or leaves_before or _is_due(waiter, mixed, now_ms)
-    late = waiter.decided and not returned and turn_ms > waiter.in_time_until_ms
+    late = waiter.decided and not returned and turn_ms > waiter.target_deadline_ms
     return leaves_before or late
 
 
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -14,8 +14,8 @@
 
 
 def _rank(waiter, now_ms):
-    late = now_ms > waiter.in_time_until_ms
-    return late, waiter.patient_until_ms if late else waiter.in_time_until_ms
+    late = now_ms > waiter.target_deadline_ms
+    return late, waiter.patient_until_ms if late else waiter.target_deadline_ms
 
 
 def _ranked(order, waiters, now_ms):
@@ -47,7 +47,7 @@
     if waiter.decided or now_ms - waiter.arrived_ms < FIRST_REJECTION_MS:
         return False
     waiter.decided = True
-    return not waiter.ask.returned and turn_ms > waiter.in_time_until_ms
+    return not waiter.ask.returned and turn_ms > waiter.target_deadline_ms
 
 
 def _return_after_ms(state, per_s, now_ms):
