--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -239,7 +239,7 @@
         if now_ms - heard_ms > REPORT_LAPSE_MS:
             _forget_run(state, request_id)
     for request_id, waiter in list(state.waiters.items()):
-        if now_ms > waiter.patient_until_ms:
+        if now_ms > waiter.patience_deadline_ms:
             del state.waiters[request_id]
 
 
--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -23,7 +23,7 @@
     ask: MemoryAsk
     arrived_ms: int
     target_deadline_ms: int
-    patient_until_ms: int
+    patience_deadline_ms: int
     decided: bool = False
 
     @property
@@ -41,7 +41,7 @@
         One who was refused early and returned when it was told takes its turn: behind all who come
         first, most of those who returned would be late once more.
         """
-        return self.patient_until_ms if self.is_late(now_ms) else self.target_deadline_ms
+        return self.patience_deadline_ms if self.is_late(now_ms) else self.target_deadline_ms
 
 
 def count_by_priority(waiters: Iterable[Waiter]) -> dict[int, int]:
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -139,7 +139,7 @@
     if not _is_pending(waiter, mixed, now_ms):
         return False
     returned = waiter.ask.returned
-    leaves_before = mixed and turn_ms > waiter.patient_until_ms
+    leaves_before = mixed and turn_ms > waiter.patience_deadline_ms
     waiter.decided = returned or leaves_before or _is_due(waiter, mixed, now_ms)
     late = waiter.decided and not returned and turn_ms > waiter.target_deadline_ms
     return leaves_before or late
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -15,7 +15,7 @@
 
 def _rank(waiter, now_ms):
     late = now_ms > waiter.target_deadline_ms
-    return late, waiter.patient_until_ms if late else waiter.target_deadline_ms
+    return late, waiter.patience_deadline_ms if late else waiter.target_deadline_ms
 
 
 def _ranked(order, waiters, now_ms):
