--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -23,7 +23,7 @@
 )
 from saffronworks.forwarding.planning.plans import Message, Occupancies, PlanState, Reply, Waiter
 from saffronworks.forwarding.planning.priorities import clip_rank
-from saffronworks.forwarding.planning.rejections import ends_per_s, refuse
+from saffronworks.forwarding.planning.rejections import refuse, run_ends_per_s
 from saffronworks.forwarding.planning.reserves import Reserve
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
@@ -294,7 +294,7 @@
     """What is kept from less urgent waiters; None while one priority is heard."""
     if not state.order.rates.is_mixed(now_ms) or not state.runs:
         return None
-    return Reserve(state.order.rates, 1000 / ends_per_s(state, now_ms), now_ms)
+    return Reserve(state.order.rates, 1000 / run_ends_per_s(state, now_ms), now_ms)
 
 
 def _eligible(
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -18,10 +18,10 @@
     RETRY_AFTER_MOST_MS,
 )
 
-__all__ = ["ends_per_s", "refuse"]
+__all__ = ["run_ends_per_s", "refuse"]
 
 
-def ends_per_s(state: PlanState, now_ms: int) -> float:
+def run_ends_per_s(state: PlanState, now_ms: int) -> float:
     """How many places come free each second, as the present runs end.
 
     The rate of the latest grants is no forecast: while memory fills at the start of a burst it is
@@ -58,7 +58,7 @@
     mixed = state.order.rates.is_mixed(now_ms)
     if not any(_is_pending(waiter, mixed, now_ms) for waiter in state.waiters.values()):
         return []
-    per_s, usable = ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
+    per_s, usable = run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
     reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], Counter[int]()
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -26,7 +26,7 @@
     pending = [w for w in state.waiters.values() if not w.decided]
     if all(now_ms - waiter.arrived_ms < FIRST_REJECTION_MS for waiter in pending):
         return []
-    per_s, usable = rejections.ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
+    per_s, usable = rejections.run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
     reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], 0
