--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -32,10 +32,10 @@
     ]
     if not run_ms:
         return 1.0
-    return max(1.0, _endpoints_pace(state, now_ms) * 1000 * len(run_ms) ** 2 / sum(run_ms))
+    return max(1.0, _relative_speed(state, now_ms) * 1000 * len(run_ms) ** 2 / sum(run_ms))
 
 
-def _endpoints_pace(state: PlanState, now_ms: int) -> float:
+def _relative_speed(state: PlanState, now_ms: int) -> float:
     """How much faster than at the service's average speed the runs end where they are."""
     usual_ms = state.ms_per_token
     runs = Counter(run.instance for run in state.runs.values())
