--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -66,7 +66,7 @@
         fits = state.best_fit(waiter.ask, usable) is not None
         memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, before, per_s, now_ms))
         turn_ms = max(reading_at_ms, memory_at_ms)
-        if _must_return(waiter, turn_ms, mixed, now_ms):
+        if _must_reject(waiter, turn_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _return_after_ms(state, waiter, turn_ms, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
@@ -130,7 +130,7 @@
     return wait_ms + OVERLOAD_LASTS_MS if overloaded else wait_ms
 
 
-def _must_return(waiter: Waiter, turn_ms: float, mixed: bool, now_ms: int) -> bool:
+def _must_reject(waiter: Waiter, turn_ms: float, mixed: bool, now_ms: int) -> bool:
     """Whether a caller's turn comes too late; asked until it is decided.
 
     One who returned is told at the first look or never: after it has waited, a refusal is worth
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -32,7 +32,7 @@
     replies, before = [], 0
     for waiter in _ranked(state.order, state.waiters.values(), now_ms):
         memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
-        if _must_return(waiter, max(reading_at_ms, now_ms + memory_ms), now_ms):
+        if _must_reject(waiter, max(reading_at_ms, now_ms + memory_ms), now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _return_after_ms(state, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
@@ -43,7 +43,7 @@
     return replies
 
 
-def _must_return(waiter, turn_ms, now_ms):
+def _must_reject(waiter, turn_ms, now_ms):
     if waiter.decided or now_ms - waiter.arrived_ms < FIRST_REJECTION_MS:
         return False
     waiter.decided = True
