--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -68,7 +68,7 @@
         turn_ms = max(reading_at_ms, memory_at_ms)
         if _must_reject(waiter, turn_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
-            after_ms = _return_after_ms(state, waiter, turn_ms, per_s, now_ms)
+            after_ms = _retry_after_ms(state, waiter, turn_ms, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
@@ -145,7 +145,7 @@
     return leaves_before or late
 
 
-def _return_after_ms(
+def _retry_after_ms(
     state: PlanState, waiter: Waiter, turn_ms: float, per_s: float, now_ms: int
 ) -> int:
     """Returns are spread so that they take a part of what the endpoints grant to the priority."""
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -34,7 +34,7 @@
         memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
         if _must_reject(waiter, max(reading_at_ms, now_ms + memory_ms), now_ms):
             del state.waiters[waiter.ask.request_id]
-            after_ms = _return_after_ms(state, per_s, now_ms)
+            after_ms = _retry_after_ms(state, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
@@ -50,7 +50,7 @@
     return not waiter.ask.returned and turn_ms > waiter.target_deadline_ms
 
 
-def _return_after_ms(state, per_s, now_ms):
+def _retry_after_ms(state, per_s, now_ms):
     earliest_ms = now_ms + RETRY_AFTER_LEAST_MS
     last_ms = state.next_retry_ms.get(0, 0.0)
     next_ms = max(earliest_ms, last_ms + 1000 / (RETRY_SHARE * per_s))
