--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -23,7 +23,7 @@
 )
 from saffronworks.forwarding.planning.plans import Message, Occupancies, PlanState, Reply, Waiter
 from saffronworks.forwarding.planning.priorities import clip_rank
-from saffronworks.forwarding.planning.rejections import refuse, run_ends_per_s
+from saffronworks.forwarding.planning.rejections import reject, run_ends_per_s
 from saffronworks.forwarding.planning.reserves import Reserve
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.speeds import is_plausible_pace
@@ -87,7 +87,7 @@
     state.shares.look(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
     state.shares.note_unserved(state.waiters)
-    refused = refuse(state, decoders, now_ms) if isinstance(event, Tick) else []
+    refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
     state.shares.note_rejections((reply.message for reply in refused), now_ms)
     return [*_unsettled(replies, granted), *granted, *refused]
 
@@ -189,7 +189,7 @@
 
     Those are the ones that it never listed. A planner that was second so far hears of ends by
     these lists alone: counted on until they lapse, the runs of a quarter of a second made a new
-    planner see 40 where 6 were, and refuse callers while places were free.
+    planner see 40 where 6 were, and reject callers while places were free.
     """
     state.reported_ms[report.reply_to] = now_ms
     state.speeds.count_runs((run.instance for run in state.runs.values()), now_ms)
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -18,7 +18,7 @@
     RETRY_AFTER_MOST_MS,
 )
 
-__all__ = ["run_ends_per_s", "refuse"]
+__all__ = ["run_ends_per_s", "reject"]
 
 
 def run_ends_per_s(state: PlanState, now_ms: int) -> float:
@@ -46,7 +46,7 @@
     return sum(paces) / runs.total()
 
 
-def refuse(state: PlanState, decoders: dict[StartId, str], now_ms: int) -> list[Reply]:
+def reject(state: PlanState, decoders: dict[StartId, str], now_ms: int) -> list[Reply]:
     """Once, when a first refusal must go out: those whose turn is not foreseen in time.
 
     The forecast counts on what a grant may use: readers, and those decode endpoints that have the
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -60,6 +60,6 @@
 
 @contextlib.contextmanager
 def without_priorities():
-    """Within it, plans order and refuse as they did before they knew priorities."""
-    with patch.object(WaiterOrder, "offers", _ranked), patch.object(core, "refuse", _refuse):
+    """Within it, plans order and reject as they did before they knew priorities."""
+    with patch.object(WaiterOrder, "offers", _ranked), patch.object(core, "reject", _refuse):
         yield
