--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -121,7 +121,7 @@
     known = state.waiters.get(ask.request_id)
     if known is None:
         _learn_from_ask(state, ask, now_ms)
-        state.shares.note_ask(ask, now_ms)
+        state.shares.record_request(ask, now_ms)
     state.waiters[ask.request_id] = Waiter(
         ask,
         now_ms - ask.waited_ms,
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -94,7 +94,7 @@
             self._granted.prune(now_ms)
             self._pruned_ms = now_ms
 
-    def note_ask(self, ask: MemoryAsk, now_ms: int) -> None:
+    def record_request(self, ask: MemoryAsk, now_ms: int) -> None:
         """A new ask, not one that comes again while it waits."""
         if ask.organisation != self._newest:
             self._other_ms = self._newest_ms if self._newest is not None else None
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -269,7 +269,7 @@
     waiting = core.PlanState(0, 1, 1)
     for index, name in enumerate(context.names):
         ask = make_ask(name, name)
-        context.shares.note_ask(ask, index // 20)
+        context.shares.record_request(ask, index // 20)
         context.shares.note_grant(ask, index // 20)
     for name in context.names[:400]:
         core._enqueue(waiting, make_ask(name, name), 1500)
