--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -280,8 +280,8 @@
         held.settle()
         state.runs[ask.request_id] = run
         del state.waiters[ask.request_id]
-        state.order.note_grant(waiter, state.waiters.values(), now_ms)
-        state.shares.note_grant(ask, now_ms)
+        state.order.record_grant(waiter, state.waiters.values(), now_ms)
+        state.shares.record_grant(ask, now_ms)
         state.prefill.add(ask.request_id, reader, ask.prompt_tokens, now_ms)
         grant = MemoryGrant(ask.request_id, instance, reader)
         replies.append(Reply(ask.reply_to, grant, waiter.priority))
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -104,7 +104,7 @@
         known = self._mean_run_tokens or tokens
         self._mean_run_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
 
-    def note_grant(self, ask: MemoryAsk, now_ms: int) -> None:
+    def record_grant(self, ask: MemoryAsk, now_ms: int) -> None:
         """An ask was granted: it is charged."""
         claimant = _claimant(ask)
         self.counts.note(self.counts.granted, claimant, self._decision(ask, now_ms))
--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -73,7 +73,7 @@
     rates: AskRates = attrs.Factory(AskRates)
 
     def offers(self, waiters: Iterable[Waiter], now_ms: int) -> Iterator[Waiter]:
-        """Waiters in the order in which they are offered a place; tell each grant to `note_grant`.
+        """Waiters in the order of their offers; report each grant to `record_grant`.
 
         A passed priority is offered a few places only, since its waiters may fit nowhere.
         """
@@ -95,7 +95,7 @@
             _note(passes, turns[-1].priority, lines)
         return [*turns, *late]
 
-    def note_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
+    def record_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
         """One of the waiters got a place; `waiters` are the others."""
         waiting = {waiter.priority for waiter in waiters if not waiter.is_late(now_ms)}
         _note(self.passes, granted.priority, waiting)
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -270,7 +270,7 @@
     for index, name in enumerate(context.names):
         ask = make_ask(name, name)
         context.shares.record_request(ask, index // 20)
-        context.shares.note_grant(ask, index // 20)
+        context.shares.record_grant(ask, index // 20)
     for name in context.names[:400]:
         core._enqueue(waiting, make_ask(name, name), 1500)
     context.runs = {name: Run("d0", "n", 1, 1, 1, 0, organisation=name) for name in DECODERS}
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -134,7 +134,7 @@
     while waiting:
         first = next(order.offers(waiting, START_MS))
         waiting.remove(first)
-        order.note_grant(first, waiting, START_MS)
+        order.record_grant(first, waiting, START_MS)
         turns.append(first)
     return turns
 
