--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -147,7 +147,7 @@
     run = _forget_run(state, request_id)
     if run is not None and not run.made_tokens:
         state.full_until_ms[run.instance] = now_ms + FULL_ENDPOINT_MS
-        state.shares.note_taken_back(run, now_ms)
+        state.shares.record_revoked_grant(run, now_ms)
 
 
 def _forget_run(state: PlanState, request_id: str) -> Run | None:
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -112,7 +112,7 @@
         if len(self._granted.served) > MAX_CLAIMANTS:
             self._granted.evict_least(CLAIMANTS_KEPT, now_ms)
 
-    def note_taken_back(self, run: Run, now_ms: int) -> None:
+    def record_revoked_grant(self, run: Run, now_ms: int) -> None:
         """A grant found no room: its charge is given back, since it is asked for again."""
         claimant = _claimant(run)
         if claimant in self._granted.served:
