--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -88,7 +88,7 @@
     granted = _grant(state, decoders, now_ms)
     state.shares.note_unserved(state.waiters)
     refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
-    state.shares.note_rejections((reply.message for reply in refused), now_ms)
+    state.shares.record_rejections((reply.message for reply in refused), now_ms)
     return [*_unsettled(replies, granted), *granted, *refused]
 
 
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -122,7 +122,7 @@
         """Those who are left over by a decision on grants."""
         self._unserved = {request_id: waiter.ask for request_id, waiter in waiters.items()}
 
-    def note_rejections(self, messages: Iterable[object], now_ms: int) -> None:
+    def record_rejections(self, messages: Iterable[object], now_ms: int) -> None:
         """Some of those who were left over are told to return."""
         for message in messages:
             if isinstance(message, MemoryRefusal) and message.request_id in self._unserved:
