--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -86,7 +86,7 @@
         return replies if state.awaits_reports(now_ms) else [*replies, *_send_on(state)]
     state.shares.look(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
-    state.shares.note_unserved(state.waiters)
+    state.shares.record_unserved(state.waiters)
     refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
     state.shares.record_rejections((reply.message for reply in refused), now_ms)
     return [*_unsettled(replies, granted), *granted, *refused]
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -118,7 +118,7 @@
         if claimant in self._granted.served:
             self._charge(claimant, -self._cost(_tokens(run)), now_ms)
 
-    def note_unserved(self, waiters: Mapping[str, _Waiting]) -> None:
+    def record_unserved(self, waiters: Mapping[str, _Waiting]) -> None:
         """Those who are left over by a decision on grants."""
         self._unserved = {request_id: waiter.ask for request_id, waiter in waiters.items()}
 
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -282,7 +282,7 @@
     shares = context.shares
     assert len(shares._granted.served) <= MAX_CLAIMANTS
     assert len(shares.counts.granted) <= MAX_CLAIMANTS and len(shares.counts.decisions) <= 512
-    shares.note_unserved(context.waiters)
+    shares.record_unserved(context.waiters)
     took_s = []
     for at_ms in range(2000, 8000, 500):
         began_s = time.process_time()
