--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -84,7 +84,7 @@
             _lapse(state, now_ms)
     if not state.is_complete(now_ms):
         return replies if state.awaits_reports(now_ms) else [*replies, *_send_on(state)]
-    state.shares.look(state.runs, state.waiters, now_ms)
+    state.shares.update(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
     state.shares.record_unserved(state.waiters)
     refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -80,7 +80,7 @@
             self._excesses[claimant] = known
         return known
 
-    def look(self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int) -> None:
+    def update(self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int) -> None:
         """Take in who holds and who waits, before grants are decided.
 
         Only who was left over by the last decision waits for lack of capacity.
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -286,10 +286,10 @@
     took_s = []
     for at_ms in range(2000, 8000, 500):
         began_s = time.process_time()
-        shares.look(context.runs, context.waiters, at_ms)
+        shares.update(context.runs, context.waiters, at_ms)
         took_s.append(time.process_time() - began_s)
     assert 0 < min(took_s) < 0.02, took_s
-    shares.look(context.runs, {}, 60_000)
+    shares.update(context.runs, {}, 60_000)
     assert not shares._granted.served
 
 
