--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -55,7 +55,7 @@
     _granted: RecentService[Claimant] = attrs.Factory(RecentService)
     _mean_run_tokens: float = 0.0
     _last_organisation: str | None = None
-    _newest_ms: int = 0
+    _last_request_ms: int = 0
     _other_ms: int | None = None
     _unserved: dict[str, MemoryAsk] = attrs.Factory(dict)
     _applies: bool = False
@@ -97,9 +97,9 @@
     def record_request(self, ask: MemoryAsk, now_ms: int) -> None:
         """A new ask, not one that comes again while it waits."""
         if ask.organisation != self._last_organisation:
-            self._other_ms = self._newest_ms if self._last_organisation is not None else None
+            self._other_ms = self._last_request_ms if self._last_organisation is not None else None
             self._last_organisation = ask.organisation
-        self._newest_ms = now_ms
+        self._last_request_ms = now_ms
         tokens = float(max(1, _tokens(ask)))
         known = self._mean_run_tokens or tokens
         self._mean_run_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
