--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -56,7 +56,7 @@
     _mean_run_tokens: float = 0.0
     _last_organisation: str | None = None
     _last_request_ms: int = 0
-    _other_ms: int | None = None
+    _last_other_ms: int | None = None
     _unserved: dict[str, MemoryAsk] = attrs.Factory(dict)
     _applies: bool = False
     _held: dict[Claimant, float] = attrs.Factory(dict)
@@ -97,7 +97,9 @@
     def record_request(self, ask: MemoryAsk, now_ms: int) -> None:
         """A new ask, not one that comes again while it waits."""
         if ask.organisation != self._last_organisation:
-            self._other_ms = self._last_request_ms if self._last_organisation is not None else None
+            self._last_other_ms = (
+                self._last_request_ms if self._last_organisation is not None else None
+            )
             self._last_organisation = ask.organisation
         self._last_request_ms = now_ms
         tokens = float(max(1, _tokens(ask)))
@@ -151,7 +153,7 @@
 
     def _shared(self, now_ms: int) -> bool:
         """Whether more than one organisation asked lately."""
-        return self._other_ms is not None and now_ms - self._other_ms <= SHARED_FOR_MS
+        return self._last_other_ms is not None and now_ms - self._last_other_ms <= SHARED_FOR_MS
 
     def _set_levels(
         self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int
