--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -86,7 +86,7 @@
         Only who was left over by the last decision waits for lack of capacity.
         """
         scarce = any(request_id in waiters for request_id in self._unserved)
-        self._applies = scarce and self._shared(now_ms)
+        self._applies = scarce and self._is_shared(now_ms)
         every_ms = max(LEVELS_EVERY_MS, len(self._granted.served) // CLAIMANTS_PER_MS)
         if self._applies and now_ms - self._levels_ms >= every_ms:
             self._set_levels(runs, waiters, now_ms)
@@ -144,14 +144,14 @@
         waiting = Counter(_claimant(waiter.ask) for waiter in waiters.values())
         excesses = {(p, name): self.excess(name, p, now_ms) for p, name in waiting}
         summary = self.counts.take(waiting, excesses, now_ms)
-        return summary if self._shared(now_ms) else ShareSummary(0, [])
+        return summary if self._is_shared(now_ms) else ShareSummary(0, [])
 
     def take_decisions(self) -> dict[str, Decision]:
         """Grants and rejections since the last call, by request; each is told once."""
         decisions, self.counts.decisions = self.counts.decisions, {}
         return decisions
 
-    def _shared(self, now_ms: int) -> bool:
+    def _is_shared(self, now_ms: int) -> bool:
         """Whether more than one organisation asked lately."""
         return self._last_other_ms is not None and now_ms - self._last_other_ms <= SHARED_FOR_MS
 
