--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -133,7 +133,7 @@
 
 def _learn_from_ask(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
     """What an ask says counts once, though it comes again while it waits."""
-    state.order.rates.note(clip_rank(ask.priority), now_ms)
+    state.order.rates.record(clip_rank(ask.priority), now_ms)
     known_tokens = state.mean_answer_tokens or float(ask.likely_tokens)
     state.mean_answer_tokens = known_tokens + LENGTH_SAMPLE_WEIGHT * (
         ask.likely_tokens - known_tokens
--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -109,7 +109,7 @@
     def record_grant(self, ask: MemoryAsk, now_ms: int) -> None:
         """An ask was granted: it is charged."""
         claimant = _claimant(ask)
-        self.counts.note(self.counts.granted, claimant, self._decision(ask, now_ms))
+        self.counts.record(self.counts.granted, claimant, self._decision(ask, now_ms))
         self._charge(claimant, self._cost(_tokens(ask)), now_ms)
         if len(self._granted.served) > MAX_CLAIMANTS:
             self._granted.evict_least(CLAIMANTS_KEPT, now_ms)
@@ -130,7 +130,7 @@
             if isinstance(message, MemoryRefusal) and message.request_id in self._unserved:
                 ask = self._unserved[message.request_id]
                 decision = self._decision(ask, now_ms)
-                self.counts.note(self.counts.rejected, _claimant(ask), decision)
+                self.counts.record(self.counts.rejected, _claimant(ask), decision)
 
     def take_summary(
         self, waiters: Mapping[str, _Waiting], now_ms: int, last: bool = False
--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -38,7 +38,7 @@
     _rates: dict[int, _Rate] = attrs.Factory(dict)
     _window_ends_ms: int = 0
 
-    def note(self, priority: int, now_ms: int) -> None:
+    def record(self, priority: int, now_ms: int) -> None:
         """A request asked for the first time."""
         self._roll(now_ms)
         rate = self._rates.setdefault(priority, _Rate(now_ms))
--- a/saffronworks/forwarding/planning/share_counts.py
+++ b/saffronworks/forwarding/planning/share_counts.py
@@ -59,7 +59,7 @@
     decisions: dict[str, Decision] = attrs.Factory(dict)
     since_ms: int = 0
 
-    def note(self, counter: Counter[Claimant], claimant: Claimant, decision: Decision) -> None:
+    def record(self, counter: Counter[Claimant], claimant: Claimant, decision: Decision) -> None:
         """Count a decision."""
         if len(counter) >= MAX_COUNTED:
             counter.clear()
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -170,9 +170,9 @@
     served nearly all, and of the urgent two in five."""
     order = WaiterOrder()
     for at_ms in range(START_MS - 5000, START_MS, 25):
-        order.rates.note(0, at_ms)
+        order.rates.record(0, at_ms)
         if at_ms % 500 == 0:
-            order.rates.note(2, at_ms)
+            order.rates.record(2, at_ms)
     turns = grant_in_turn(order, context.waiters)
     at = [index for index, each in enumerate(turns) if each.priority == 2]
     assert 18 <= at[0] <= 22, at
@@ -295,7 +295,7 @@
     """Endpoints with so much planned memory left; the urgent caller that waits needs 30,000."""
     plan, decoders = warm_plan(), {}
     for at_ms in range(START_MS - 5000, START_MS, 100):
-        plan.order.rates.note(urgent_priority, at_ms)
+        plan.order.rates.record(urgent_priority, at_ms)
     for index, room in enumerate(rooms):
         decoders[f"d{index}"] = "z"
         taken = int(plan.limit_tokens) - room
@@ -350,8 +350,8 @@
 def kept_by_rate(context):
     rates = AskRates()
     for at_ms in range(0, 10_000, 100):
-        rates.note(URGENT, at_ms)
-    rates.note(BULK, 10_000)
+        rates.record(URGENT, at_ms)
+    rates.record(BULK, 10_000)
     assert Reserve(rates, 50, 10_000).places(URGENT) == 1
     assert 10 <= Reserve(rates, 1000, 10_000).places(URGENT) <= 13
     assert Reserve(rates, 50, 60_000).places(URGENT) == 0, "nothing was heard lately"
@@ -361,13 +361,13 @@
 def rates_follow(context):
     rates = AskRates()
     for at_ms in range(0, 10_000, 50):
-        rates.note(URGENT, at_ms)
+        rates.record(URGENT, at_ms)
         if at_ms % 200 == 0:
-            rates.note(BULK, at_ms)
+            rates.record(BULK, at_ms)
     assert abs(rates.per_s(BULK, 10_000) - 20) < 2 and abs(rates.per_s(100, 10_000) - 25) < 2.5
     assert rates.per_s(URGENT, 10_000) == 0 and rates.is_mixed(10_000)
     assert rates.per_s(100, 15_000) < 3
-    rates.note(BULK, 15_000)
+    rates.record(BULK, 15_000)
     assert not rates.is_mixed(9950 + PRIORITY_LAPSE_MS + 1), "the urgent were heard too long ago"
 
 
