--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding.planning.messages import MemoryAsk
 from saffronworks.forwarding.planning.priorities import clip_rank
-from saffronworks.forwarding.planning.request_rates import AskRates
+from saffronworks.forwarding.planning.request_rates import RequestRates
 from saffronworks.forwarding.planning.tuning import MAX_OVERDUE_EXAMINED
 
 __all__ = ["Excess", "Waiter", "WaiterOrder", "count_by_priority"]
@@ -70,7 +70,7 @@
 
     excess: Excess = _no_excess
     passes: dict[int, int] = attrs.Factory(dict)
-    rates: AskRates = attrs.Factory(AskRates)
+    rates: RequestRates = attrs.Factory(RequestRates)
 
     def offers(self, waiters: Iterable[Waiter], now_ms: int) -> Iterator[Waiter]:
         """Waiters in the order of their offers; report each grant to `record_grant`.
--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -11,7 +11,7 @@
     RATE_WINDOW_MS,
 )
 
-__all__ = ["AskRates"]
+__all__ = ["RequestRates"]
 
 
 @attrs.define
@@ -32,7 +32,7 @@
 
 
 @attrs.define
-class AskRates:
+class RequestRates:
     """The asks of each priority that was heard lately, counted in windows."""
 
     _rates: dict[int, _Rate] = attrs.Factory(dict)
--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -5,7 +5,7 @@
 import attrs
 
 from saffronworks.forwarding.planning.order import Waiter
-from saffronworks.forwarding.planning.request_rates import AskRates
+from saffronworks.forwarding.planning.request_rates import RequestRates
 from saffronworks.forwarding.planning.runs import Occupancies
 from saffronworks.forwarding.planning.tuning import (
     KEPT_SHARE,
@@ -24,7 +24,7 @@
     callers that are only expected: that left memory idle.
     """
 
-    rates: AskRates
+    rates: RequestRates
     next_place_ms: float
     now_ms: int
     kept: dict[StartId, int] = attrs.Factory(dict)
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.order import Waiter, WaiterOrder
 from saffronworks.forwarding.planning.plans import Reply
-from saffronworks.forwarding.planning.request_rates import AskRates
+from saffronworks.forwarding.planning.request_rates import RequestRates
 from saffronworks.forwarding.planning.reserves import Reserve
 from saffronworks.forwarding.planning.runs import Run
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -348,7 +348,7 @@
 
 @then("as many endpoints are kept as the rate of the urgent asks and its spread require")
 def kept_by_rate(context):
-    rates = AskRates()
+    rates = RequestRates()
     for at_ms in range(0, 10_000, 100):
         rates.record(URGENT, at_ms)
     rates.record(BULK, 10_000)
@@ -359,7 +359,7 @@
 
 @then("the rate of a priority follows its asks, and is forgotten after half a minute")
 def rates_follow(context):
-    rates = AskRates()
+    rates = RequestRates()
     for at_ms in range(0, 10_000, 50):
         rates.record(URGENT, at_ms)
         if at_ms % 200 == 0:
