--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -60,7 +60,7 @@
     replies: list[Reply] = []
     if now_ms - state.last_event_ms > REPORT_LAPSE_MS:
         state.began_ms = now_ms
-        replies += _want_reports(state)
+        replies += _request_reports(state)
     state.last_event_ms = now_ms
     match event:
         case MemoryAsk():
@@ -92,7 +92,7 @@
     return [*_unsettled(replies, granted), *granted, *refused]
 
 
-def _want_reports(state: PlanState) -> list[Reply]:
+def _request_reports(state: PlanState) -> list[Reply]:
     """A plan that begins asks each node what runs there: it is whole when all have answered."""
     wanted = ReportWanted(state.service, state.own_address)
     return [Reply(node, wanted) for node in state.nodes]
