--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -83,7 +83,7 @@
         case Tick():
             _lapse(state, now_ms)
     if not state.is_complete(now_ms):
-        return replies if state.awaits_reports(now_ms) else [*replies, *_send_on(state)]
+        return replies if state.awaits_reports(now_ms) else [*replies, *_release_waiters(state)]
     state.shares.update(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
     state.shares.record_unserved(state.waiters)
@@ -98,7 +98,7 @@
     return [Reply(node, wanted) for node in state.nodes]
 
 
-def _send_on(state: PlanState) -> list[Reply]:
+def _release_waiters(state: PlanState) -> list[Reply]:
     """A node is silent, as one that is gone: those who waited for it go by themselves."""
     waiting = [waiter.ask for waiter in state.waiters.values()]
     state.waiters.clear()
