--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -89,7 +89,7 @@
     state.shares.record_unserved(state.waiters)
     refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
     state.shares.record_rejections((reply.message for reply in refused), now_ms)
-    return [*_unsettled(replies, granted), *granted, *refused]
+    return [*_drop_superseded(replies, granted), *granted, *refused]
 
 
 def _request_reports(state: PlanState) -> list[Reply]:
@@ -105,7 +105,7 @@
     return [Reply(ask.reply_to, MemoryDirect(ask.request_id)) for ask in waiting]
 
 
-def _unsettled(replies: list[Reply], granted: list[Reply]) -> list[Reply]:
+def _drop_superseded(replies: list[Reply], granted: list[Reply]) -> list[Reply]:
     """Without the words to wait that a grant outdoes."""
     asked = [reply.message for reply in granted]
     settled = {message.request_id for message in asked if isinstance(message, MemoryGrant)}
