--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -117,7 +117,7 @@
 
 
 def _enqueue(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
-    _take_back(state, ask.request_id, now_ms)
+    _revoke_grant(state, ask.request_id, now_ms)
     known = state.waiters.get(ask.request_id)
     if known is None:
         _learn_from_ask(state, ask, now_ms)
@@ -142,7 +142,7 @@
         state.ejections.record_failure(instance, now_ms)
 
 
-def _take_back(state: PlanState, request_id: str, now_ms: int) -> None:
+def _revoke_grant(state: PlanState, request_id: str, now_ms: int) -> None:
     """A grant that found no room is asked for again: nothing is read for it, nothing runs."""
     run = _forget_run(state, request_id)
     if run is not None and not run.made_tokens:
