--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -144,13 +144,13 @@
 
 def _revoke_grant(state: PlanState, request_id: str, now_ms: int) -> None:
     """A grant that found no room is asked for again: nothing is read for it, nothing runs."""
-    run = _forget_run(state, request_id)
+    run = _remove_run(state, request_id)
     if run is not None and not run.made_tokens:
         state.full_until_ms[run.instance] = now_ms + FULL_ENDPOINT_MS
         state.shares.record_revoked_grant(run, now_ms)
 
 
-def _forget_run(state: PlanState, request_id: str) -> Run | None:
+def _remove_run(state: PlanState, request_id: str) -> Run | None:
     """A run that is over, with what was still to be read for it."""
     run = state.runs.pop(request_id, None)
     if run is not None and run.reader is not None:
@@ -162,7 +162,7 @@
     for instance in event.broken:
         state.ejections.record_failure(instance, now_ms)
     state.waiters.pop(event.request_id, None)
-    run = _forget_run(state, event.request_id)
+    run = _remove_run(state, event.request_id)
     if run is not None:
         state.full_until_ms.pop(run.instance, None)
         state.lengths.learn(run.likely_tokens, event.length_tokens)
@@ -197,7 +197,7 @@
     for request_id, run in list(state.runs.items()):
         may_cross = not run.listed and now_ms - run.began_ms < REPORT_LAPSE_MS
         if run.reply_to == report.reply_to and request_id not in listed and not may_cross:
-            _forget_run(state, request_id)
+            _remove_run(state, request_id)
     for live in report.runs:
         known = state.runs.get(live.request_id)
         if known is None or known.instance != live.instance:
@@ -237,7 +237,7 @@
     for request_id, run in list(state.runs.items()):
         heard_ms = max(run.began_ms, state.reported_ms.get(run.reply_to, 0))
         if now_ms - heard_ms > REPORT_LAPSE_MS:
-            _forget_run(state, request_id)
+            _remove_run(state, request_id)
     for request_id, waiter in list(state.waiters.items()):
         if now_ms > waiter.patience_deadline_ms:
             del state.waiters[request_id]
