--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -79,7 +79,7 @@
             _take_report(state, event, now_ms)
             return replies
         case ReadingEnded():
-            _end_reading(state, event, now_ms)
+            _end_prefill(state, event, now_ms)
         case Tick():
             _lapse(state, now_ms)
     if not state.is_complete(now_ms):
@@ -173,7 +173,7 @@
         state.ms_per_token += SAMPLE_WEIGHT * (seen - state.ms_per_token)
 
 
-def _end_reading(state: PlanState, event: ReadingEnded, now_ms: int) -> None:
+def _end_prefill(state: PlanState, event: ReadingEnded, now_ms: int) -> None:
     """The reader is free for the next prompt."""
     run = state.runs.get(event.request_id)
     if run is None or run.reader is None:
