--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -76,7 +76,7 @@
         case MemoryRelease():
             _release(state, event, now_ms)
         case MemoryReport():
-            _take_report(state, event, now_ms)
+            _apply_report(state, event, now_ms)
             return replies
         case ReadingEnded():
             _end_prefill(state, event, now_ms)
@@ -184,7 +184,7 @@
         state.prefill.remove(event.request_id, run.reader)
 
 
-def _take_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
+def _apply_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
     """A node's own list replaces what was known of it, but for grants that crossed it.
 
     Those are the ones that it never listed. A planner that was second so far hears of ends by
