--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -205,12 +205,12 @@
         if live.made_tokens and known.reader is not None:
             state.prefill.remove(live.request_id, known.reader)
         known.listed = True
-        _take_progress(state, known, live, now_ms)
+        _apply_progress(state, known, live, now_ms)
         if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
             state.ejections.record_failure(live.instance, now_ms)
 
 
-def _take_progress(state: PlanState, run: Run, live: LiveRun, now_ms: int) -> None:
+def _apply_progress(state: PlanState, run: Run, live: LiveRun, now_ms: int) -> None:
     """What a run has made by now; what came since the report before tells its endpoint's speed."""
     made_tokens, made_ms = max(0, live.made_tokens), now_ms - max(0, live.quiet_ms)
     if run.made_tokens:
