--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -201,7 +201,7 @@
     for live in report.runs:
         known = state.runs.get(live.request_id)
         if known is None or known.instance != live.instance:
-            known = state.runs[live.request_id] = _from_report(live, report.reply_to, now_ms)
+            known = state.runs[live.request_id] = _make_run(live, report.reply_to, now_ms)
         if live.made_tokens and known.reader is not None:
             state.prefill.remove(live.request_id, known.reader)
         known.listed = True
@@ -219,7 +219,7 @@
     run.made_tokens, run.made_ms = made_tokens, made_ms
 
 
-def _from_report(live: LiveRun, reply_to: str, now_ms: int) -> Run:
+def _make_run(live: LiveRun, reply_to: str, now_ms: int) -> Run:
     return Run(
         live.instance,
         reply_to,
