--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -81,7 +81,7 @@
         case ReadingEnded():
             _end_prefill(state, event, now_ms)
         case Tick():
-            _lapse(state, now_ms)
+            _expire(state, now_ms)
     if not state.is_complete(now_ms):
         return replies if state.awaits_reports(now_ms) else [*replies, *_release_waiters(state)]
     state.shares.update(state.runs, state.waiters, now_ms)
@@ -232,7 +232,7 @@
     )
 
 
-def _lapse(state: PlanState, now_ms: int) -> None:
+def _expire(state: PlanState, now_ms: int) -> None:
     """Forget what belongs to nodes that report nothing any more, and who gave up."""
     for request_id, run in list(state.runs.items()):
         heard_ms = max(run.began_ms, state.reported_ms.get(run.reply_to, 0))
