--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -256,7 +256,7 @@
         ask = waiter.ask
         uses_local_prefill = state.prefill.uses_local_prefill(now_ms)
         open_to = _eligible(state, reserve, waiter, usable)
-        instance = _find_place(state, ask, open_to, uses_local_prefill, now_ms)
+        instance = _choose_endpoint(state, ask, open_to, uses_local_prefill, now_ms)
         if instance is None:
             if reserve is not None and not waiter.is_late(now_ms):
                 reserve.keep(waiter, usable)
@@ -306,7 +306,7 @@
     return reserve.eligible(waiter.priority, usable)
 
 
-def _find_place(
+def _choose_endpoint(
     state: PlanState, ask: MemoryAsk, usable: Occupancies, uses_local_prefill: bool, now_ms: int
 ) -> StartId | None:
     """The endpoint for a run, among those whose next prompt would be read soon."""
