--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -57,7 +57,7 @@
 
 
 # The waiters of each priority in order; those that are empty are left out.
-_Lines = dict[int, deque[Waiter]]
+_Queues = dict[int, deque[Waiter]]
 
 
 @attrs.define
@@ -110,9 +110,9 @@
         due = [name for name in counted if passes[name] >= self.rates.max_passes(name, now_ms)]
         return max(due, key=lambda name: passes[name], default=None)
 
-    def _split(self, waiters: Iterable[Waiter], now_ms: int) -> tuple[_Lines, list[Waiter]]:
+    def _split(self, waiters: Iterable[Waiter], now_ms: int) -> tuple[_Queues, list[Waiter]]:
         """Those who can be in time by priority, and the late ones, each in order."""
-        lines: _Lines = {}
+        lines: _Queues = {}
         late = []
         for waiter in self._sort(waiters, now_ms):
             if waiter.is_late(now_ms):
@@ -129,7 +129,7 @@
         return sorted(waiters, key=rank)
 
 
-def _take(lines: _Lines, priority: int) -> Waiter:
+def _take(lines: _Queues, priority: int) -> Waiter:
     waiter = lines[priority].popleft()
     if not lines[priority]:
         del lines[priority]
