--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -77,22 +77,22 @@
 
         A passed priority is offered a few places only, since its waiters may fit nowhere.
         """
-        lines, late = self._split(waiters, now_ms)
+        queues, late = self._split(waiters, now_ms)
         looks = MAX_OVERDUE_EXAMINED
-        while lines:
-            due = self._due(self.passes, lines, now_ms) if looks else None
+        while queues:
+            due = self._due(self.passes, queues, now_ms) if looks else None
             looks -= due is not None
-            yield _take(lines, min(lines) if due is None else due)
+            yield _take(queues, min(queues) if due is None else due)
         yield from late
 
     def forecast(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
         """Waiters in the order of their turns, if each gets a place at its own."""
-        lines, late = self._split(waiters, now_ms)
+        queues, late = self._split(waiters, now_ms)
         passes, turns = dict(self.passes), []
-        while lines:
-            due = self._due(passes, lines, now_ms)
-            turns.append(_take(lines, min(lines) if due is None else due))
-            _note(passes, turns[-1].priority, lines)
+        while queues:
+            due = self._due(passes, queues, now_ms)
+            turns.append(_take(queues, min(queues) if due is None else due))
+            _note(passes, turns[-1].priority, queues)
         return [*turns, *late]
 
     def record_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
@@ -112,14 +112,14 @@
 
     def _split(self, waiters: Iterable[Waiter], now_ms: int) -> tuple[_Queues, list[Waiter]]:
         """Those who can be in time by priority, and the late ones, each in order."""
-        lines: _Queues = {}
+        queues: _Queues = {}
         late = []
         for waiter in self._sort(waiters, now_ms):
             if waiter.is_late(now_ms):
                 late.append(waiter)
             else:
-                lines.setdefault(waiter.priority, deque()).append(waiter)
-        return lines, late
+                queues.setdefault(waiter.priority, deque()).append(waiter)
+        return queues, late
 
     def _sort(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
         def rank(waiter: Waiter) -> tuple[int, float, int]:
@@ -129,10 +129,10 @@
         return sorted(waiters, key=rank)
 
 
-def _take(lines: _Queues, priority: int) -> Waiter:
-    waiter = lines[priority].popleft()
-    if not lines[priority]:
-        del lines[priority]
+def _take(queues: _Queues, priority: int) -> Waiter:
+    waiter = queues[priority].popleft()
+    if not queues[priority]:
+        del queues[priority]
     return waiter
 
 
