--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -78,10 +78,10 @@
         A passed priority is offered a few places only, since its waiters may fit nowhere.
         """
         queues, late = self._split(waiters, now_ms)
-        looks = MAX_OVERDUE_EXAMINED
+        overdue_left = MAX_OVERDUE_EXAMINED
         while queues:
-            due = self._due(self.passes, queues, now_ms) if looks else None
-            looks -= due is not None
+            due = self._due(self.passes, queues, now_ms) if overdue_left else None
+            overdue_left -= due is not None
             yield _take(queues, min(queues) if due is None else due)
         yield from late
 
