--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -82,7 +82,7 @@
         while queues:
             due = self._due(self.passes, queues, now_ms) if overdue_left else None
             overdue_left -= due is not None
-            yield _take(queues, min(queues) if due is None else due)
+            yield _pop(queues, min(queues) if due is None else due)
         yield from late
 
     def forecast(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
@@ -91,7 +91,7 @@
         passes, turns = dict(self.passes), []
         while queues:
             due = self._due(passes, queues, now_ms)
-            turns.append(_take(queues, min(queues) if due is None else due))
+            turns.append(_pop(queues, min(queues) if due is None else due))
             _note(passes, turns[-1].priority, queues)
         return [*turns, *late]
 
@@ -129,7 +129,7 @@
         return sorted(waiters, key=rank)
 
 
-def _take(queues: _Queues, priority: int) -> Waiter:
+def _pop(queues: _Queues, priority: int) -> Waiter:
     waiter = queues[priority].popleft()
     if not queues[priority]:
         del queues[priority]
