--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -92,13 +92,13 @@
         while queues:
             due = self._due(passes, queues, now_ms)
             turns.append(_pop(queues, min(queues) if due is None else due))
-            _note(passes, turns[-1].priority, queues)
+            _count_grant(passes, turns[-1].priority, queues)
         return [*turns, *late]
 
     def record_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
         """One of the waiters got a place; `waiters` are the others."""
         waiting = {waiter.priority for waiter in waiters if not waiter.is_late(now_ms)}
-        _note(self.passes, granted.priority, waiting)
+        _count_grant(self.passes, granted.priority, waiting)
 
     def is_due(self, priority: int, now_ms: int) -> bool:
         """Whether it was passed over so often that the next place is its own."""
@@ -136,7 +136,7 @@
     return waiter
 
 
-def _note(passes: dict[int, int], granted: int, waiting: Collection[int]) -> None:
+def _count_grant(passes: dict[int, int], granted: int, waiting: Collection[int]) -> None:
     """Count a grant; what nobody waits for in time is forgotten."""
     passes.pop(granted, None)
     for name in passes.keys() - set(waiting):
