--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class _Busy:
+class _BusyTime:
     """Running sums of tokens that were read and of the time that it took; old ones fade."""
 
     tokens: float = PREFILL_PRIOR_TOKENS
@@ -37,8 +37,8 @@
     Prompts that are read in turns come back together, so sums are compared and not single ones.
     """
 
-    _all: _Busy = attrs.Factory(_Busy)
-    _of_reader: dict[StartId, _Busy] = attrs.Factory(dict)
+    _all: _BusyTime = attrs.Factory(_BusyTime)
+    _of_reader: dict[StartId, _BusyTime] = attrs.Factory(dict)
 
     @property
     def ms_per_token(self) -> float:
