--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -38,7 +38,7 @@
     """
 
     _all: _BusyTime = attrs.Factory(_BusyTime)
-    _of_reader: dict[StartId, _BusyTime] = attrs.Factory(dict)
+    _by_prefiller: dict[StartId, _BusyTime] = attrs.Factory(dict)
 
     @property
     def ms_per_token(self) -> float:
@@ -47,7 +47,7 @@
 
     def of(self, reader: StartId) -> float:
         """How long a token occupies this reader."""
-        seen = self._of_reader.get(reader, self._all)
+        seen = self._by_prefiller.get(reader, self._all)
         return seen.busy_ms / seen.tokens
 
     def learn(self, reader: StartId, tokens: int, busy_ms: float) -> None:
@@ -57,15 +57,15 @@
         """
         if tokens <= 0:
             return
-        if reader not in self._of_reader:
-            self._of_reader[reader] = attrs.evolve(self._all)
-        for seen in (self._of_reader[reader], self._all):
+        if reader not in self._by_prefiller:
+            self._by_prefiller[reader] = attrs.evolve(self._all)
+        for seen in (self._by_prefiller[reader], self._all):
             seen.add(tokens, busy_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of readers that are gone."""
-        for instance in self._of_reader.keys() - instances:
-            del self._of_reader[instance]
+        for instance in self._by_prefiller.keys() - instances:
+            del self._by_prefiller[instance]
 
 
 @attrs.frozen
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -69,7 +69,7 @@
     assert plan.ejections.usable([before, later], 1) == [later]
     assert set(plan.occupancies({later: "z"}, 1)) == {later}
     assert plan.prefill.backlog_ms(later, 1) == 0 < plan.prefill.backlog_ms(before, 1)
-    assert set(plan.prefill.pace._of_reader) == {before}
+    assert set(plan.prefill.pace._by_prefiller) == {before}
 
 
 @then("an earlier start that is heard of late never takes its place")
