--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -85,13 +85,13 @@
     is taken for lost on its way to the planner: with a third of the nodes cut off, such prompts
     once kept nine readers at 14 a second in place of 90.
 
-    `_since_ms` is when the reader finished the last prompt of which all before it were back, and
-    `_passed_tokens` are those of prompts that came back since, before an earlier one.
+    `_last_finish_ms` is when the reader finished the last prompt of which all before it were back,
+    and `_passed_tokens` are those of prompts that came back since, before an earlier one.
     """
 
     free_at_ms: float = 0.0
     _prompts: dict[str, _Prompt] = attrs.Factory(dict)
-    _since_ms: int | None = None
+    _last_finish_ms: int | None = None
     _passed_tokens: int = 0
 
     def backlog_ms(self, ms_per_token: float, now_ms: int) -> float:
@@ -123,9 +123,14 @@
         if prompt is None:
             return
         if request_id == first:
-            if self._since_ms is not None and prompt.granted_ms + PREFILL_CALL_MS < self._since_ms:
-                pace.learn(reader, self._passed_tokens + prompt.tokens, now_ms - self._since_ms)
-            self._since_ms, self._passed_tokens = now_ms, 0
+            if (
+                self._last_finish_ms is not None
+                and prompt.granted_ms + PREFILL_CALL_MS < self._last_finish_ms
+            ):
+                pace.learn(
+                    reader, self._passed_tokens + prompt.tokens, now_ms - self._last_finish_ms
+                )
+            self._last_finish_ms, self._passed_tokens = now_ms, 0
         else:
             self._passed_tokens += prompt.tokens
         waiting_tokens = sum(prompt.tokens for prompt in self._prompts.values())
@@ -141,4 +146,4 @@
 
     def _forget_pace(self) -> None:
         """What the reader did since it was last seen to finish is not known."""
-        self._since_ms, self._passed_tokens = None, 0
+        self._last_finish_ms, self._passed_tokens = None, 0
