--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -86,13 +86,13 @@
     once kept nine readers at 14 a second in place of 90.
 
     `_last_finish_ms` is when the reader finished the last prompt of which all before it were back,
-    and `_passed_tokens` are those of prompts that came back since, before an earlier one.
+    and `_early_tokens` are those of prompts that came back since, before an earlier one.
     """
 
     free_at_ms: float = 0.0
     _prompts: dict[str, _Prompt] = attrs.Factory(dict)
     _last_finish_ms: int | None = None
-    _passed_tokens: int = 0
+    _early_tokens: int = 0
 
     def backlog_ms(self, ms_per_token: float, now_ms: int) -> float:
         """How long it is busy; what should be read by now and is not may yet take its time."""
@@ -128,11 +128,11 @@
                 and prompt.granted_ms + PREFILL_CALL_MS < self._last_finish_ms
             ):
                 pace.learn(
-                    reader, self._passed_tokens + prompt.tokens, now_ms - self._last_finish_ms
+                    reader, self._early_tokens + prompt.tokens, now_ms - self._last_finish_ms
                 )
-            self._last_finish_ms, self._passed_tokens = now_ms, 0
+            self._last_finish_ms, self._early_tokens = now_ms, 0
         else:
-            self._passed_tokens += prompt.tokens
+            self._early_tokens += prompt.tokens
         waiting_tokens = sum(prompt.tokens for prompt in self._prompts.values())
         self.free_at_ms = now_ms + waiting_tokens * pace.of(reader)
 
@@ -146,4 +146,4 @@
 
     def _forget_pace(self) -> None:
         """What the reader did since it was last seen to finish is not known."""
-        self._last_finish_ms, self._passed_tokens = None, 0
+        self._last_finish_ms, self._early_tokens = None, 0
