--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -96,7 +96,7 @@
 
     def backlog_ms(self, ms_per_token: float, now_ms: int) -> float:
         """How long it is busy; what should be read by now and is not may yet take its time."""
-        self._forget_lost(now_ms)
+        self._drop_overdue(now_ms)
         overdue_tokens = sum(prompt.tokens for prompt in list(self._prompts.values())[1:])
         return max(0.0, self.free_at_ms - now_ms, overdue_tokens * ms_per_token)
 
@@ -136,7 +136,7 @@
         waiting_tokens = sum(prompt.tokens for prompt in self._prompts.values())
         self.free_at_ms = now_ms + waiting_tokens * pace.of(reader)
 
-    def _forget_lost(self, now_ms: int) -> None:
+    def _drop_overdue(self, now_ms: int) -> None:
         overdue_ms = now_ms - PREFILL_OVERDUE_MS
         for request_id, prompt in list(self._prompts.items()):
             if prompt.due_ms >= overdue_ms:
