--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -114,7 +114,7 @@
         prompt = self._prompts.pop(request_id, None)
         if prompt is not None:
             self.free_at_ms -= prompt.tokens * ms_per_token
-            self._forget_pace()
+            self._reset_measurement()
 
     def finish(self, request_id: str, reader: StartId, pace: PrefillPace, now_ms: int) -> None:
         """A prompt is back; the time since the one before tells the pace, if it was waiting."""
@@ -142,8 +142,8 @@
             if prompt.due_ms >= overdue_ms:
                 return
             del self._prompts[request_id]
-            self._forget_pace()
+            self._reset_measurement()
 
-    def _forget_pace(self) -> None:
+    def _reset_measurement(self) -> None:
         """What the reader did since it was last seen to finish is not known."""
         self._last_finish_ms, self._early_tokens = None, 0
