--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -119,7 +119,7 @@
         speed = self._find(instance, runs, seen, now_ms)
         if speed is None:
             return
-        weight = _weigh(span_ms)
+        weight = _sample_weight(span_ms)
         self._learn_load(speed, runs, seen, weight)
         self._learn(speed, runs, seen, weight, now_ms)
 
@@ -130,7 +130,7 @@
         seen = span_ms / tokens
         speed = self._find(instance, self._runs[instance], seen, now_ms)
         if speed is not None:
-            self._learn(speed, speed.runs, seen, _weigh(span_ms), now_ms)
+            self._learn(speed, speed.runs, seen, _sample_weight(span_ms), now_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of endpoints that are gone."""
@@ -191,7 +191,7 @@
         self._average_runs += share * (runs - self._average_runs)
 
 
-def _weigh(span_ms: int) -> float:
+def _sample_weight(span_ms: int) -> float:
     """How much a sample counts, by its time.
 
     Twelve runs of one engine report together, and each of their samples may fall into the same
