--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -95,13 +95,13 @@
         speed = self._speeds.get(instance)
         if speed is None:
             return 1.0
-        factor = _aged(speed, now_ms)
+        factor = _decayed_factor(speed, now_ms)
         return factor ** _certainty(factor)
 
     def ms_per_token(self, instance: StartId, usual_ms: float, now_ms: int) -> float:
         """The time for a token there, where `usual_ms` is the service's average."""
         speed = self._speeds.get(instance)
-        certainty = _certainty(_aged(speed, now_ms)) if speed else 0.0
+        certainty = _certainty(_decayed_factor(speed, now_ms)) if speed else 0.0
         if speed is None or not certainty:
             return usual_ms
         return usual_ms * (speed.ms_per_token / usual_ms) ** certainty
@@ -180,7 +180,7 @@
     def _learn(self, speed: _Speed, runs: float, seen: float, weight: float, now_ms: int) -> None:
         """Move the averages of the endpoint and of the service towards a sample."""
         alone = seen / math.exp(self.load_slope * (runs - self._average_runs))
-        known = _aged(speed, now_ms)
+        known = _decayed_factor(speed, now_ms)
         ratio = known * _clip(alone / self._average / known)
         speed.factor, speed.last_sample_ms = known + weight * (ratio - known), now_ms
         speed.runs += weight * (runs - speed.runs)
@@ -200,7 +200,7 @@
     return SAMPLE_WEIGHT * min(1.0, span_ms / USUAL_RUN_MS)
 
 
-def _aged(speed: _Speed, now_ms: int) -> float:
+def _decayed_factor(speed: _Speed, now_ms: int) -> float:
     """The factor after a time without samples: it returns to the average."""
     silent_ms = max(0, now_ms - speed.last_sample_ms - SPEED_FRESH_MS)
     return 1 + (speed.factor - 1) * 0.5 ** (silent_ms / SPEED_HALF_LIFE_MS)
