--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -116,7 +116,7 @@
         if not is_plausible_pace(tokens, span_ms):
             return
         runs, seen = self._runs[instance], span_ms / tokens
-        speed = self._find(instance, runs, seen, now_ms)
+        speed = self._speed_of(instance, runs, seen, now_ms)
         if speed is None:
             return
         weight = _sample_weight(span_ms)
@@ -128,7 +128,7 @@
         if not is_plausible_pace(tokens, span_ms):
             return
         seen = span_ms / tokens
-        speed = self._find(instance, self._runs[instance], seen, now_ms)
+        speed = self._speed_of(instance, self._runs[instance], seen, now_ms)
         if speed is not None:
             self._learn(speed, speed.runs, seen, _sample_weight(span_ms), now_ms)
 
@@ -160,7 +160,7 @@
         self._logged_ms += [now_ms] * len(news)
         return news
 
-    def _find(self, instance: StartId, runs: int, seen: float, now_ms: int) -> _Speed | None:
+    def _speed_of(self, instance: StartId, runs: int, seen: float, now_ms: int) -> _Speed | None:
         """What is known of an endpoint; None if there is no room for another one."""
         if not self._average:
             self._average, self._average_runs = seen, float(runs)
