--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -132,7 +132,7 @@
             gone_ms = self._kernel.now_ms() - began_ms
             if gone_ms >= ask.patience_ms:
                 return MemoryRefusal(ask.request_id, 0)
-            self._send(planner, _aged(ask, gone_ms))
+            self._send(planner, _update_times(ask, gone_ms))
             answer = await self._next_answer(ask.request_id, PLANNER_SILENT_MS)
             if answer is None:
                 self._avoid(planner, ask)
@@ -257,7 +257,7 @@
         return MemoryReport(self.own_address, service, runs)
 
 
-def _aged(ask: MemoryAsk, gone_ms: int) -> MemoryAsk:
+def _update_times(ask: MemoryAsk, gone_ms: int) -> MemoryAsk:
     """The same ask some time later."""
     return attrs.evolve(
         ask,
