--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -207,14 +207,14 @@
 
     def end_reading(self, ended: ReadingEnded) -> None:
         """A reader has read a prompt, or will not do so."""
-        self._tell_planner(ended)
+        self._send_to_planner(ended)
 
     def end(self, release: MemoryRelease) -> None:
         """A run is over, or its request is given up."""
         self._runs.pop(release.request_id, None)
-        self._tell_planner(release)
+        self._send_to_planner(release)
 
-    def _tell_planner(self, message: MemoryRelease | ReadingEnded) -> None:
+    def _send_to_planner(self, message: MemoryRelease | ReadingEnded) -> None:
         planner = self._planner(message.service) if self._kernel else None
         if planner is not None:
             self._send(planner, message)
