--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -175,7 +175,7 @@
     def tell_reading_ended(self, reader: StartId, whole: bool) -> None:
         """Tell the planner that the reader is done with the prompt, well or not."""
         request_id, service = self.job.request.request_id, self.job.service
-        self.node.memory.end_reading(ReadingEnded(request_id, service, reader, whole))
+        self.node.memory.end_prefill(ReadingEnded(request_id, service, reader, whole))
 
     def tell_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
         """Tell the planner that the place is free, and which endpoints failed the request."""
--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -205,7 +205,7 @@
         if run is not None and self._kernel is not None:
             run.made_tokens, run.made_ms = made_tokens, self._kernel.now_ms()
 
-    def end_reading(self, ended: ReadingEnded) -> None:
+    def end_prefill(self, ended: ReadingEnded) -> None:
         """A reader has read a prompt, or will not do so."""
         self._send_to_planner(ended)
 
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -43,7 +43,7 @@
     memory = Mock(own_address="n")
     memory.ask = AsyncMock(side_effect=lambda ask: (told.append("ask"), grants.pop(0))[1])
     memory.begin = lambda *_: told.append("begin")
-    memory.end_reading = lambda ended: told.append("read" if ended.whole else "not read")
+    memory.end_prefill = lambda ended: told.append("read" if ended.whole else "not read")
     memory.end = lambda _: told.append("end")
     calls = Mock()
     calls.take_hold = AsyncMock(side_effect=holds)
