--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -129,10 +129,10 @@
         assert self._kernel is not None
         began_ms = self._kernel.now_ms()
         while True:
-            gone_ms = self._kernel.now_ms() - began_ms
-            if gone_ms >= ask.patience_ms:
+            elapsed_ms = self._kernel.now_ms() - began_ms
+            if elapsed_ms >= ask.patience_ms:
                 return MemoryRefusal(ask.request_id, 0)
-            self._send(planner, _update_times(ask, gone_ms))
+            self._send(planner, _update_times(ask, elapsed_ms))
             answer = await self._next_answer(ask.request_id, PLANNER_SILENT_MS)
             if answer is None:
                 self._avoid(planner, ask)
@@ -257,11 +257,11 @@
         return MemoryReport(self.own_address, service, runs)
 
 
-def _update_times(ask: MemoryAsk, gone_ms: int) -> MemoryAsk:
+def _update_times(ask: MemoryAsk, elapsed_ms: int) -> MemoryAsk:
     """The same ask some time later."""
     return attrs.evolve(
         ask,
-        waited_ms=ask.waited_ms + gone_ms,
-        in_time_ms=ask.in_time_ms - gone_ms,
-        patience_ms=ask.patience_ms - gone_ms,
+        waited_ms=ask.waited_ms + elapsed_ms,
+        in_time_ms=ask.in_time_ms - elapsed_ms,
+        patience_ms=ask.patience_ms - elapsed_ms,
     )
