--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -96,9 +96,9 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._report, kernel)
             async for message in mailbox:
-                self._take(message)
+                self._handle(message)
 
-    def _take(self, message: _Answer | ReportWanted) -> None:
+    def _handle(self, message: _Answer | ReportWanted) -> None:
         if isinstance(message, ReportWanted):
             assert self._kernel is not None
             report = self._make_report(message.service, self._kernel.now_ms())
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -67,7 +67,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel)
             async for message in mailbox:
-                self._take(kernel, message.service, message)
+                self._handle(kernel, message.service, message)
 
     async def _tick(self, kernel: Kernel) -> None:
         """Let time pass for plans with waiters or runs; a node that plans nothing sleeps."""
@@ -76,7 +76,7 @@
             await anyio.sleep(PLAN_EVERY_MS / 1000)
             active = [service for service, plan in self.plans.items() if plan.waiters or plan.runs]
             for service in active:
-                self._take(kernel, service, Tick())
+                self._handle(kernel, service, Tick())
                 self._report_shares(self.plans[service], kernel.now_ms())
             if not active:
                 for plan in self.plans.values():
@@ -105,7 +105,7 @@
                 summary.claimants,
             )
 
-    def _take(self, kernel: Kernel, service: str, event: core.Event) -> None:
+    def _handle(self, kernel: Kernel, service: str, event: core.Event) -> None:
         now_ms = kernel.now_ms()
         plan = self._find(service, now_ms)
         if plan is None:
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -220,14 +220,16 @@
             f"r{self.asked}", "127.0.0.1:9", "s", **sizes, **times, returned=False
         )
         self.plan.began_ms, self.plan.last_event_ms = -9999, self.now_ms
-        self.planner._take(self.kernel, "s", ask)
+        self.planner._handle(self.kernel, "s", ask)
         self.plan.waiters.clear()
         for answer in self.answers:
             if isinstance(answer, messages.MemoryGrant):
                 self.granted += 1
                 offered = usable(self.directory, self.now_ms)
                 assert {answer.instance, answer.reader} <= offered, answer
-                self.planner._take(self.kernel, "s", messages.MemoryRelease(answer.request_id, "s"))
+                self.planner._handle(
+                    self.kernel, "s", messages.MemoryRelease(answer.request_id, "s")
+                )
         self.answers.clear()
 
 
@@ -284,12 +286,12 @@
     planner, plan = planner_of(directory)
     kernel = Kernel("n", lambda: 2000)
     live = messages.LiveRun("r1", StartId("e0"), 5000, 600, 900, 100)
-    planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:8", "s", (live,)))
+    planner._handle(kernel, "s", messages.MemoryReport("127.0.0.1:8", "s", (live,)))
     assert plan.runs["r1"].instance == "e0@5"
-    planner._take(kernel, "s", messages.MemoryRelease("r2", "s", broken=(StartId("e0"),)))
+    planner._handle(kernel, "s", messages.MemoryRelease("r2", "s", broken=(StartId("e0"),)))
     assert plan.ejections.is_ejected(StartId("e0@5"), 2000)
     other = messages.LiveRun("r3", StartId("e0@4"), 5000, 600, 900, 100)
-    planner._take(kernel, "s", messages.MemoryReport("127.0.0.1:7", "s", (other,)))
+    planner._handle(kernel, "s", messages.MemoryReport("127.0.0.1:7", "s", (other,)))
     assert plan.runs["r3"].instance == "e0@4", "a run of an earlier start is none of this one"
 
 
