--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -124,7 +124,7 @@
         for reply in replies:
             self._log_decision(kernel, reply, plan, decisions)
             self._send(kernel, reply)
-        self._tell_speeds(plan, now_ms)
+        self._log_speeds(plan, now_ms)
         if plan.waiters or plan.runs:
             self._active.set()
         for instance, span_ms in plan.ejections.take_new():
@@ -137,7 +137,7 @@
                 self._directory.revision,
             )
 
-    def _tell_speeds(self, plan: PlanState, now_ms: int) -> None:
+    def _log_speeds(self, plan: PlanState, now_ms: int) -> None:
         """Log the endpoints whose speed has changed by a step, a few lines a second at most."""
         for news in plan.speeds.take_changes(now_ms):
             logger.info(
