--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -77,13 +77,13 @@
             active = [service for service, plan in self.plans.items() if plan.waiters or plan.runs]
             for service in active:
                 self._handle(kernel, service, Tick())
-                self._report_shares(self.plans[service], kernel.now_ms())
+                self._log_shares(self.plans[service], kernel.now_ms())
             if not active:
                 for plan in self.plans.values():
-                    self._report_shares(plan, kernel.now_ms(), last=True)
+                    self._log_shares(plan, kernel.now_ms(), last=True)
                 self._active = anyio.Event()
 
-    def _report_shares(self, plan: PlanState, now_ms: int, last: bool = False) -> None:
+    def _log_shares(self, plan: PlanState, now_ms: int, last: bool = False) -> None:
         """Log and count what organisations got, those that wait or were rejected most first."""
         summary = plan.shares.take_summary(plan.waiters, now_ms, last)
         if summary is None:
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -298,7 +298,7 @@
     planner = MemoryPlanner(SimpleNamespace(revision=0), None, None, "n", Figures("n"))
     plan = core.PlanState(0, 1, 1, "s", shares=context.shares, waiters=context.waiters)
     with LogLines("saffronworks.forwarding.planning.service") as texts:
-        planner._report_shares(plan, 10_000)
+        planner._log_shares(plan, 10_000)
     assert len(texts) == 8 and all("event=plan_share service=s" in text for text in texts), texts
     assert len(planner._figures.counts) <= 2 * 65 and len(planner._figures.share_levels) <= 2 * 65
     waiting = [
@@ -306,7 +306,7 @@
     ]
     assert sum(waiting) == len(context.waiters), sum(waiting)
     plan.waiters = {}
-    planner._report_shares(plan, 10_020, last=True)
+    planner._log_shares(plan, 10_020, last=True)
     assert not any(planner._figures.share_levels.values()), "a planner that sleeps left values"
 
 
