--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -208,10 +208,10 @@
                 reply.priority,
                 reply.message,
                 len(plan.waiters),
-                _show(_waiting(plan)),
-                _show(self._count(plan.service, "granted")),
-                _show(self._count(plan.service, "rejected")),
-                _show(_kept(plan)),
+                _format_counts(_waiting(plan)),
+                _format_counts(self._count(plan.service, "granted")),
+                _format_counts(self._count(plan.service, "rejected")),
+                _format_counts(_kept(plan)),
                 len(plan.runs),
                 plan.ms_per_token,
                 plan.prefill.pace.ms_per_token,
@@ -243,7 +243,7 @@
     return Counter(plan.kept.values())
 
 
-def _show(counts: dict[int, int]) -> str:
+def _format_counts(counts: dict[int, int]) -> str:
     """Counts by priority, the most urgent first, as one word."""
     return ",".join(f"{name}:{count}" for name, count in sorted(counts.items())) or "none"
 
