--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -218,7 +218,7 @@
                 len(plan.prefill.prefillers),
                 plan.prefill.prefillers_free_in_ms(kernel.now_ms()),
                 self._directory.revision,
-                _show_share(decisions.get(reply.message.request_id)),
+                _format_share(decisions.get(reply.message.request_id)),
             )
 
     def _send(self, kernel: Kernel, reply: Reply) -> None:
@@ -228,7 +228,7 @@
             kernel.post("peers", Outgoing(reply.address, reply.message))
 
 
-def _show_share(decision: Decision | None) -> str:
+def _format_share(decision: Decision | None) -> str:
     """The organisation's excess at the decision, where there is an organisation or an excess."""
     if decision is None or not (decision.organisation or decision.excess):
         return ""
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -16,7 +16,7 @@
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.fair_shares import MAX_CLAIMANTS, FairShares
 from saffronworks.forwarding.planning.runs import Run
-from saffronworks.forwarding.planning.service import MemoryPlanner, _show_share
+from saffronworks.forwarding.planning.service import MemoryPlanner, _format_share
 from saffronworks.forwarding.planning.share_counts import Decision
 from saffronworks.recent_service import fair_level
 from saffronworks.tests.log_lines import LogLines
@@ -313,9 +313,9 @@
 @then("the planner's line and saffronctl explain name the excess of its organisation")
 def explained(context):
     decision = Decision("r", 55, "acme", 2)
-    line = f"event=plan request=r do=MemoryRefusal(request_id='r'){_show_share(decision)}"
+    line = f"event=plan request=r do=MemoryRefusal(request_id='r'){_format_share(decision)}"
     refusal = "event=refuse request=r status=503 reason=memory-full"
     story = read_stories([line, refusal])["r"]
     assert (story.organisation, story.excess) == ("acme", 2)
     assert story.cause == "memory-full, planned, organisation beyond its share", story.cause
-    assert _show_share(Decision("r", 55, "", 0)) == ""
+    assert _format_share(Decision("r", 55, "", 0)) == ""
