--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -114,7 +114,7 @@
         plan.nodes = self._nodes()
         usable = self._directory.usable(service, now_ms, Role.DECODE)
         decoders = {endpoint.instance: endpoint.zone for endpoint in usable}
-        self._trim()
+        self._drop_removed_endpoints()
         listed = self._directory.usable(service, now_ms, Role.PREFILL)
         readers = {endpoint.instance: endpoint.zone for endpoint in listed}
         names = plan.ejections.usable(readers, now_ms)
@@ -152,7 +152,7 @@
             )
             self._figures.record_speed(plan.service, news.factor, news.ms_per_token)
 
-    def _trim(self) -> None:
+    def _drop_removed_endpoints(self) -> None:
         """Forget what was learnt of endpoints that are gone, once the directory has changed."""
         if self._directory.revision == self._trimmed_revision:
             return
