--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -57,7 +57,7 @@
         self._own_address = own_address
         self._figures = figures
         self._settled: Counter[tuple[str, str, int]] = Counter()
-        self._trimmed_revision = directory.revision
+        self._dropped_revision = directory.revision
         self._active = anyio.Event()
         figures.watch("saffronworks_plan_waiting", lambda: self._levels(_waiting))
         figures.watch("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
@@ -154,9 +154,9 @@
 
     def _drop_removed_endpoints(self) -> None:
         """Forget what was learnt of endpoints that are gone, once the directory has changed."""
-        if self._directory.revision == self._trimmed_revision:
+        if self._directory.revision == self._dropped_revision:
             return
-        self._trimmed_revision = self._directory.revision
+        self._dropped_revision = self._directory.revision
         for plan in self.plans.values():
             plan.forget_all_but(set(self._directory.endpoints))
 
