--- a/saffronworks/forwarding/planning/messages.py
+++ b/saffronworks/forwarding/planning/messages.py
@@ -10,7 +10,7 @@
 
 __all__ = [
     "ENTRY_HEARS",
-    "PLANNER_HEARS",
+    "PLANNER_MESSAGES",
     "LiveRun",
     "MemoryAsk",
     "MemoryDirect",
@@ -148,5 +148,5 @@
 
 
 # What a planner hears of entry nodes, and what entry nodes hear of planners.
-PLANNER_HEARS = (MemoryAsk, MemoryRelease, MemoryReport, ReadingEnded)
+PLANNER_MESSAGES = (MemoryAsk, MemoryRelease, MemoryReport, ReadingEnded)
 ENTRY_HEARS = (MemoryGrant, MemoryQueued, MemoryDirect, MemoryRefusal, ReportWanted)
