--- a/saffronworks/forwarding/planning/messages.py
+++ b/saffronworks/forwarding/planning/messages.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.starts import StartId
 
 __all__ = [
-    "ENTRY_HEARS",
+    "ENTRY_MESSAGES",
     "PLANNER_MESSAGES",
     "LiveRun",
     "MemoryAsk",
@@ -149,4 +149,4 @@
 
 # What a planner hears of entry nodes, and what entry nodes hear of planners.
 PLANNER_MESSAGES = (MemoryAsk, MemoryRelease, MemoryReport, ReadingEnded)
-ENTRY_HEARS = (MemoryGrant, MemoryQueued, MemoryDirect, MemoryRefusal, ReportWanted)
+ENTRY_MESSAGES = (MemoryGrant, MemoryQueued, MemoryDirect, MemoryRefusal, ReportWanted)
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -235,7 +235,7 @@
         self._kernel.register(self._quotas, *quota_messages.NODES_HEAR)
         self._kernel.register(self._limits, *limit_messages.NODES_HEAR)
         self._kernel.register(planner, *planning_messages.PLANNER_MESSAGES)
-        self._kernel.register(self._memory, *planning_messages.ENTRY_HEARS)
+        self._kernel.register(self._memory, *planning_messages.ENTRY_MESSAGES)
 
     @property
     def metrics_address(self) -> str:
