--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -46,7 +46,7 @@
 )
 from saffronworks.forwarding.plain_core import promises_not_run
 from saffronworks.forwarding.planning.tuning import (
-    IN_TIME_MS,
+    FIRST_EVENT_MS,
 )
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.starts import StartId
@@ -219,7 +219,7 @@
     if not state.plans_left or patience_ms <= 0 or not pools.decoders or blocked:
         return _ask(state, pools, now_ms)
     state.plans_left -= 1
-    in_time_ms = state.arrived_ms + state.target_ms - IN_TIME_MS - now_ms
+    in_time_ms = state.arrived_ms + state.target_ms - FIRST_EVENT_MS - now_ms
     avoid = tuple(sorted(state.asked | state.failed | pools.eligibility.blocks.keys()))
     return AskPlanner(in_time_ms, patience_ms, avoid, state.take_broken())
 
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -70,7 +70,7 @@
 # 0.843 where memory binds, 0.842, 0.854, 0.858, 0.732 (three seeds) where reading binds as well.
 LOCAL_PREFILL_MEMORY_SHARE = 0.7
 # From a grant to the first event when the readers are that busy.
-IN_TIME_MS = 400
+FIRST_EVENT_MS = 400
 # Spread of answers about the hints of their lengths, as the logarithm's deviation, until answers
 # have ended: hints are right in the median and often far off.
 HINT_ERROR = 0.45
