--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.messages import KvHandle, KvHold, PromptSize
 from saffronworks.forwarding.planning.tuning import (
     MAX_PLAN_REQUESTS,
-    PLANNED_RESERVE,
+    PLANNED_RESERVE_SHARE,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -25,7 +25,9 @@
 
 def planned_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
     """Memory to reserve where the plan provides for the growth."""
-    return min(prompt.prompt_tokens + int(PLANNED_RESERVE * prompt.likely_tokens), capacity_tokens)
+    return min(
+        prompt.prompt_tokens + int(PLANNED_RESERVE_SHARE * prompt.likely_tokens), capacity_tokens
+    )
 
 
 def reserve_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -95,7 +95,7 @@
 # How often one request asks the planner: its place may be gone when it comes to reserve it.
 MAX_PLAN_REQUESTS = 4
 # Part of the likely answer that a planned run reserves; the plan provides for the rest.
-PLANNED_RESERVE = 0.25
+PLANNED_RESERVE_SHARE = 0.25
 # A caller who is to return is told so a little before a fifth of the target.
 FIRST_REJECTION_MS = 150
 # The foremost waiters that are looked at for each grant.
