--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -37,7 +37,7 @@
 logger = logging.getLogger(__name__)
 
 _Answer = MemoryGrant | MemoryQueued | MemoryDirect | MemoryRefusal
-_Outgoing = MemoryAsk | MemoryRelease | MemoryReport | ReadingEnded
+_PlannerMessage = MemoryAsk | MemoryRelease | MemoryReport | ReadingEnded
 
 
 @attrs.frozen
@@ -219,7 +219,7 @@
         if planner is not None:
             self._send(planner, message)
 
-    def _send(self, planner: str, message: _Outgoing) -> None:
+    def _send(self, planner: str, message: _PlannerMessage) -> None:
         assert self._kernel is not None
         if planner == self.own_address:
             self._kernel.announce(message)
