--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -1,9 +1,9 @@
-"""Plans the decode memory of one service: who gets it, who waits, who is told to return when.
+"""Plans the decode memory of one service: grants, queues and rejects requests for it.
 
-An engine knows what it holds now, but not what its runs will grow to; the planner knows every run,
-so it foresees the peak of each endpoint and orders all who wait. It is soft state: entry nodes
-report their runs, the engines' own reservations stay the truth, and an entry node that hears
-nothing goes on without. `step(state, event, decoders, now_ms)` gives replies to entry nodes.
+An engine knows its present memory use, but not how far its runs will grow. The planner knows every
+run of the service, so it forecasts the peak of each endpoint and orders all waiting requests. Its
+state is soft: entry nodes report their runs, the engines' own reservations are authoritative, and
+an entry node without an answer goes on without the planner.
 """
 
 from itertools import islice
@@ -45,17 +45,18 @@
 
 @attrs.frozen
 class Tick:
-    """Time passed."""
+    """Lets time pass; the planner's service sends one every `PLAN_EVERY_MS`."""
 
 
 Event = MemoryAsk | MemoryRelease | MemoryReport | ReadingEnded | Tick
 
 
 def step(state: PlanState, event: Event, decoders: dict[StartId, str], now_ms: int) -> list[Reply]:
-    """Replies to entry nodes; `decoders` are the usable endpoints now, with their zones.
+    """Apply an event to the plan and return the replies to entry nodes.
 
-    A report brings no reply, and refusals go out at ticks: in a burst there are several hundred
-    events a second, and a look at all who wait costs a millisecond of a small VM.
+    `decoders` maps the usable decode endpoints to their zones. A report causes no grants, and
+    rejections are sent at ticks only: in a burst there are several hundred events a second, and a
+    pass over all waiters takes a millisecond of a small VM.
     """
     replies: list[Reply] = []
     if now_ms - state.last_event_ms > REPORT_LAPSE_MS:
@@ -69,8 +70,8 @@
             repeated = event.request_id in state.waiters
             _enqueue(state, event, now_ms)
             replies.append(Reply(event.reply_to, MemoryQueued(event.request_id)))
-            # A repeated ask frees no memory. In a burst there are hundreds a second, and a look
-            # for places at each of them kept the planner busy for most of the time.
+            # A repeated request frees no memory. In a burst there are hundreds a second, and a
+            # search for an endpoint at each of them kept the planner busy most of the time.
             if repeated and state.is_complete(now_ms):
                 return replies
         case MemoryRelease():
@@ -87,40 +88,40 @@
     state.shares.update(state.runs, state.waiters, now_ms)
     granted = _grant(state, decoders, now_ms)
     state.shares.record_unserved(state.waiters)
-    refused = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
-    state.shares.record_rejections((reply.message for reply in refused), now_ms)
-    return [*_drop_superseded(replies, granted), *granted, *refused]
+    rejected = reject(state, decoders, now_ms) if isinstance(event, Tick) else []
+    state.shares.record_rejections((reply.message for reply in rejected), now_ms)
+    return [*_drop_superseded(replies, granted), *granted, *rejected]
 
 
 def _request_reports(state: PlanState) -> list[Reply]:
-    """A plan that begins asks each node what runs there: it is whole when all have answered."""
-    wanted = ReportWanted(state.service, state.own_address)
-    return [Reply(node, wanted) for node in state.nodes]
+    """Request a report from each node; a new plan is complete once all have answered."""
+    message = ReportWanted(state.service, state.own_address)
+    return [Reply(node, message) for node in state.nodes]
 
 
 def _release_waiters(state: PlanState) -> list[Reply]:
-    """A node is silent, as one that is gone: those who waited for it go by themselves."""
+    """Let all waiters go on without the planner, since a node has not sent its report in time."""
     waiting = [waiter.ask for waiter in state.waiters.values()]
     state.waiters.clear()
     return [Reply(ask.reply_to, MemoryDirect(ask.request_id)) for ask in waiting]
 
 
 def _drop_superseded(replies: list[Reply], granted: list[Reply]) -> list[Reply]:
-    """Without the words to wait that a grant outdoes."""
-    asked = [reply.message for reply in granted]
-    settled = {message.request_id for message in asked if isinstance(message, MemoryGrant)}
+    """Drop the replies that tell a request to wait, where it is granted in the same step."""
+    messages = [reply.message for reply in granted]
+    settled = {message.request_id for message in messages if isinstance(message, MemoryGrant)}
 
-    def stays(message: Message) -> bool:
+    def is_current(message: Message) -> bool:
         return not (isinstance(message, MemoryQueued) and message.request_id in settled)
 
-    return [reply for reply in replies if stays(reply.message)]
+    return [reply for reply in replies if is_current(reply.message)]
 
 
 def _enqueue(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
     _revoke_grant(state, ask.request_id, now_ms)
     known = state.waiters.get(ask.request_id)
     if known is None:
-        _learn_from_ask(state, ask, now_ms)
+        _learn_from_request(state, ask, now_ms)
         state.shares.record_request(ask, now_ms)
     state.waiters[ask.request_id] = Waiter(
         ask,
@@ -131,19 +132,19 @@
     )
 
 
-def _learn_from_ask(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
-    """What an ask says counts once, though it comes again while it waits."""
+def _learn_from_request(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
+    """Take a new request into the statistics; a repeated one is not counted again."""
     state.order.rates.record(clip_rank(ask.priority), now_ms)
-    known_tokens = state.mean_answer_tokens or float(ask.likely_tokens)
-    state.mean_answer_tokens = known_tokens + LENGTH_SAMPLE_WEIGHT * (
-        ask.likely_tokens - known_tokens
+    mean_tokens = state.mean_answer_tokens or float(ask.likely_tokens)
+    state.mean_answer_tokens = mean_tokens + LENGTH_SAMPLE_WEIGHT * (
+        ask.likely_tokens - mean_tokens
     )
     for instance in ask.broken:
         state.ejections.record_failure(instance, now_ms)
 
 
 def _revoke_grant(state: PlanState, request_id: str, now_ms: int) -> None:
-    """A grant that found no room is asked for again: nothing is read for it, nothing runs."""
+    """Revoke a grant for which the endpoint had no room: its request came again."""
     run = _remove_run(state, request_id)
     if run is not None and not run.made_tokens:
         state.full_until_ms[run.instance] = now_ms + FULL_ENDPOINT_MS
@@ -151,7 +152,7 @@
 
 
 def _remove_run(state: PlanState, request_id: str) -> Run | None:
-    """A run that is over, with what was still to be read for it."""
+    """Remove a run, and its prompt from the prefill queue; None if the run is unknown."""
     run = state.runs.pop(request_id, None)
     if run is not None and run.reader is not None:
         state.prefill.remove(request_id, run.reader)
@@ -168,13 +169,13 @@
         state.lengths.learn(run.likely_tokens, event.length_tokens)
         state.speeds.learn_run(run.instance, event.answer_tokens, event.stream_ms, now_ms)
     if is_plausible_pace(event.answer_tokens, event.stream_ms):
-        seen = event.stream_ms / event.answer_tokens
-        seen = min(seen, MAX_SLOWDOWN * state.ms_per_token)
-        state.ms_per_token += SAMPLE_WEIGHT * (seen - state.ms_per_token)
+        sample = event.stream_ms / event.answer_tokens
+        sample = min(sample, MAX_SLOWDOWN * state.ms_per_token)
+        state.ms_per_token += SAMPLE_WEIGHT * (sample - state.ms_per_token)
 
 
 def _end_prefill(state: PlanState, event: ReadingEnded, now_ms: int) -> None:
-    """The reader is free for the next prompt."""
+    """Take the prompt out of the prefill queue, as finished or as cancelled."""
     run = state.runs.get(event.request_id)
     if run is None or run.reader is None:
         return
@@ -185,18 +186,19 @@
 
 
 def _apply_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
-    """A node's own list replaces what was known of it, but for grants that crossed it.
+    """Replace the known runs of a node by the reported ones.
 
-    Those are the ones that it never listed. A planner that was second so far hears of ends by
-    these lists alone: counted on until they lapse, the runs of a quarter of a second made a new
-    planner see 40 where 6 were, and reject callers while places were free.
+    A recent grant that the node never reported stays, since the report may have been sent before
+    it. A standby planner learns of ends from reports alone: when it kept runs of a quarter of a
+    second until they expired, it counted 40 runs where there were 6 after a takeover, and rejected
+    callers while memory was free.
     """
     state.reported_ms[report.reply_to] = now_ms
     state.speeds.count_runs((run.instance for run in state.runs.values()), now_ms)
     listed = {run.request_id for run in report.runs}
     for request_id, run in list(state.runs.items()):
-        may_cross = not run.listed and now_ms - run.began_ms < REPORT_LAPSE_MS
-        if run.reply_to == report.reply_to and request_id not in listed and not may_cross:
+        may_be_newer = not run.listed and now_ms - run.began_ms < REPORT_LAPSE_MS
+        if run.reply_to == report.reply_to and request_id not in listed and not may_be_newer:
             _remove_run(state, request_id)
     for live in report.runs:
         known = state.runs.get(live.request_id)
@@ -211,7 +213,7 @@
 
 
 def _apply_progress(state: PlanState, run: Run, live: LiveRun, now_ms: int) -> None:
-    """What a run has made by now; what came since the report before tells its endpoint's speed."""
+    """Update a run's tokens; those since the last report are a sample of its endpoint's speed."""
     made_tokens, made_ms = max(0, live.made_tokens), now_ms - max(0, live.quiet_ms)
     if run.made_tokens:
         tokens, span_ms = made_tokens - run.made_tokens, made_ms - run.made_ms
@@ -233,10 +235,10 @@
 
 
 def _expire(state: PlanState, now_ms: int) -> None:
-    """Forget what belongs to nodes that report nothing any more, and who gave up."""
+    """Remove runs of nodes that no longer report, and waiters beyond their patience."""
     for request_id, run in list(state.runs.items()):
-        heard_ms = max(run.began_ms, state.reported_ms.get(run.reply_to, 0))
-        if now_ms - heard_ms > REPORT_LAPSE_MS:
+        last_known_ms = max(run.began_ms, state.reported_ms.get(run.reply_to, 0))
+        if now_ms - last_known_ms > REPORT_LAPSE_MS:
             _remove_run(state, request_id)
     for request_id, waiter in list(state.waiters.items()):
         if now_ms > waiter.patience_deadline_ms:
@@ -244,7 +246,7 @@
 
 
 def _grant(state: PlanState, decoders: dict[StartId, str], now_ms: int) -> list[Reply]:
-    """Give memory to the first who fit; the foremost few are looked at."""
+    """Grant memory to the first `MAX_EXAMINED` waiters, as far as they fit."""
     state.kept = {}
     if not state.waiters or not decoders:
         return []
@@ -291,7 +293,7 @@
 
 
 def _make_reserve(state: PlanState, now_ms: int) -> Reserve | None:
-    """What is kept from less urgent waiters; None while one priority is heard."""
+    """Return an empty reserve for this step; None while there is only one priority."""
     if not state.order.rates.is_mixed(now_ms) or not state.runs:
         return None
     return Reserve(state.order.rates, 1000 / run_ends_per_s(state, now_ms), now_ms)
@@ -300,7 +302,7 @@
 def _eligible(
     state: PlanState, reserve: Reserve | None, waiter: Waiter, usable: Occupancies
 ) -> Occupancies:
-    """The endpoints that may get its run; one whose priority was passed often may use all."""
+    """Return the endpoints that may get the run; a priority that is due may use them all."""
     if reserve is None or state.order.is_due(waiter.priority, reserve.now_ms):
         return usable
     return reserve.eligible(waiter.priority, usable)
@@ -309,7 +311,7 @@
 def _choose_endpoint(
     state: PlanState, ask: MemoryAsk, usable: Occupancies, uses_local_prefill: bool, now_ms: int
 ) -> StartId | None:
-    """The endpoint for a run, among those whose next prompt would be read soon."""
+    """Choose the endpoint for a run; with local prefill only one without a prefill backlog."""
     if not uses_local_prefill:
         return state.best_fit(ask, usable)
     idle = {
