--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -1,4 +1,4 @@
-"""Who gets the next place: the order of waiters, and the bound against starvation."""
+"""The order in which waiters get memory, with a bound against starvation."""
 
 from collections import deque
 from collections.abc import Callable, Collection, Iterable, Iterator
@@ -12,13 +12,16 @@
 
 __all__ = ["Excess", "Waiter", "WaiterOrder", "count_by_priority"]
 
-# By how many shares an organisation is beyond its own in a priority, at a time.
+# Maps an organisation, a priority and a time to the whole fair shares that the organisation has.
 Excess = Callable[[str, int, int], float]
 
 
 @attrs.define
 class Waiter:
-    """One request that wants memory; times by the planner's own clock."""
+    """A request that waits for memory; times are those of the planner's own clock.
+
+    `decided` says that it is not rejected any more.
+    """
 
     ask: MemoryAsk
     arrived_ms: int
@@ -28,24 +31,24 @@
 
     @property
     def priority(self) -> int:
-        """The rank of its route and organisation, lower first; messages may hold any number."""
+        """The rank of its organisation and route, lower first, clipped to the valid range."""
         return clip_rank(self.ask.priority)
 
     def is_late(self, now_ms: int) -> bool:
-        """Whether a grant comes too late for the target."""
+        """Return whether a grant would miss the target."""
         return now_ms > self.target_deadline_ms
 
     def deadline_ms(self, now_ms: int) -> int:
-        """When its time is up: that of the target, or of the caller's patience once it is late.
+        """Return the deadline for the target, or once it has passed, that of the patience.
 
-        One who was refused early and returned when it was told takes its turn: behind all who come
-        first, most of those who returned would be late once more.
+        A caller that retries after a rejection has no later deadline for that: queued behind all
+        first attempts, most retries would be late again.
         """
         return self.patience_deadline_ms if self.is_late(now_ms) else self.target_deadline_ms
 
 
 def count_by_priority(waiters: Iterable[Waiter]) -> dict[int, int]:
-    """How many wait, by priority, the most urgent first."""
+    """Return the number of waiters by priority, the most urgent first."""
     counts: dict[int, int] = {}
     for waiter in waiters:
         counts[waiter.priority] = counts.get(waiter.priority, 0) + 1
@@ -56,16 +59,16 @@
     return 0.0
 
 
-# The waiters of each priority in order; those that are empty are left out.
+# The waiters of each priority in order; priorities without waiters are left out.
 _Queues = dict[int, deque[Waiter]]
 
 
 @attrs.define
 class WaiterOrder:
-    """In-time waiters before late ones; then by priority, the organisation's excess, time left.
+    """Orders waiters: in-time before late ones, then by priority, excess and deadline.
 
-    `passes` counts by priority the grants in succession that went to more urgent waiters while one
-    of that priority waited that could be in time; after `rates.max_passes` it is its turn.
+    `passes` counts for each priority the successive grants to more urgent waiters while one of that
+    priority waited in time. After `rates.max_passes` of them the priority is due.
     """
 
     excess: Excess = _no_excess
@@ -73,9 +76,9 @@
     rates: RequestRates = attrs.Factory(RequestRates)
 
     def offers(self, waiters: Iterable[Waiter], now_ms: int) -> Iterator[Waiter]:
-        """Waiters in the order of their offers; report each grant to `record_grant`.
+        """Yield waiters in the order in which to grant; report each grant to `record_grant`.
 
-        A passed priority is offered a few places only, since its waiters may fit nowhere.
+        At most `MAX_OVERDUE_EXAMINED` come first for being due, since they may fit nowhere.
         """
         queues, late = self._split(waiters, now_ms)
         overdue_left = MAX_OVERDUE_EXAMINED
@@ -86,7 +89,7 @@
         yield from late
 
     def forecast(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
-        """Waiters in the order of their turns, if each gets a place at its own."""
+        """Return waiters in the order of their grants if each fits when its turn comes."""
         queues, late = self._split(waiters, now_ms)
         passes, turns = dict(self.passes), []
         while queues:
@@ -96,22 +99,22 @@
         return [*turns, *late]
 
     def record_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
-        """One of the waiters got a place; `waiters` are the others."""
+        """Count a grant; `waiters` are those that still wait."""
         waiting = {waiter.priority for waiter in waiters if not waiter.is_late(now_ms)}
         _count_grant(self.passes, granted.priority, waiting)
 
     def is_due(self, priority: int, now_ms: int) -> bool:
-        """Whether it was passed over so often that the next place is its own."""
+        """Return whether a priority was passed over so often that the next grant is due to it."""
         return self._due(self.passes, [priority], now_ms) is not None
 
     def _due(self, passes: dict[int, int], waiting: Collection[int], now_ms: int) -> int | None:
-        """The priority that was passed over most often, if that was too often."""
+        """Return the due priority that was passed over most often; None if none is due."""
         counted = [name for name in sorted(waiting) if name in passes]
         due = [name for name in counted if passes[name] >= self.rates.max_passes(name, now_ms)]
         return max(due, key=lambda name: passes[name], default=None)
 
     def _split(self, waiters: Iterable[Waiter], now_ms: int) -> tuple[_Queues, list[Waiter]]:
-        """Those who can be in time by priority, and the late ones, each in order."""
+        """Return in-time waiters by priority, and late ones, each in order."""
         queues: _Queues = {}
         late = []
         for waiter in self._sort(waiters, now_ms):
@@ -137,7 +140,7 @@
 
 
 def _count_grant(passes: dict[int, int], granted: int, waiting: Collection[int]) -> None:
-    """Count a grant; what nobody waits for in time is forgotten."""
+    """Count a grant, and drop the counts of priorities without an in-time waiter."""
     passes.pop(granted, None)
     for name in passes.keys() - set(waiting):
         del passes[name]
