--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -1,4 +1,4 @@
-"""What the planner knows of one service: who waits, what runs, what endpoints have room for."""
+"""The planner's state of one service: waiters, runs and the memory use of endpoints."""
 
 from collections.abc import Collection
 
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Reply:
-    """Send a message to an entry node; `priority` is that of a waiter which is settled by it."""
+    """A message to an entry node; `priority` is that of the request which it answers."""
 
     address: str
     message: Message
@@ -49,12 +49,11 @@
 class PlanState:
     """The plan of one service's decode memory.
 
-    `began_ms` is when this node first was asked, or was asked again after it had heard nothing for
-    long: it may have stood still meanwhile. Endpoints that failed a request are shunned for a
-    while, those that had no room for a grant are full for a moment or until a run of theirs ends.
-    `kept` names the endpoints that the latest look kept from priorities behind theirs.
-    `mean_answer_tokens` is the running average of likely answers, `nodes` are those that report,
-    `own_address` is where they do so.
+    `began_ms` is the time of the first event, or of the first one after a long pause, in which the
+    process may have been suspended. Endpoints that failed a request are ejected for a while.
+    `full_until_ms` holds endpoints that had no room for a grant, until then or the end of a run.
+    `kept` maps endpoints to the priority for which the last step reserved them. `nodes` are the
+    nodes that report, and `own_address` is the address that they report to.
     """
 
     began_ms: int
@@ -84,28 +83,28 @@
         return WaiterOrder(self.shares.excess)
 
     def is_complete(self, now_ms: int) -> bool:
-        """Whether all runs are known: each node has told its own, or time enough has passed.
+        """Return whether all runs are known: each node has reported, or the warm-up is over.
 
-        Waiting out the time each time that a plan began left all nodes without one for 0.9 s after
-        they had started together: the prompts of that time went to one reader, up to 1.3 s late.
+        Without the reports, nodes that started together had no plan for 0.9 s: the prompts of that
+        time went to one prefill endpoint and were up to 1.3 s late.
         """
         if now_ms - self.began_ms >= WARM_UP_MS:
             return True
-        heard = (self.reported_ms.get(node, -1) for node in self.nodes)
-        return bool(self.nodes) and all(at_ms >= self.began_ms for at_ms in heard)
+        reported = (self.reported_ms.get(node, -1) for node in self.nodes)
+        return bool(self.nodes) and all(at_ms >= self.began_ms for at_ms in reported)
 
     def awaits_reports(self, now_ms: int) -> bool:
-        """Whether nodes that were asked what runs there may still answer in a moment."""
+        """Return whether a new plan still waits for the reports that it requested."""
         return bool(self.nodes) and now_ms - self.began_ms < REPORTS_WAIT_MS
 
     @property
     def limit_tokens(self) -> float:
-        """What foreseen peaks of an endpoint may take."""
+        """The memory that the forecast peak of an endpoint may take, in tokens."""
         margin_tokens = MARGIN_ANSWERS * self.mean_answer_tokens
         return self.capacity_tokens - min(margin_tokens, MAX_MARGIN_SHARE * self.capacity_tokens)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
-        """Drop what was learnt of endpoints that are gone."""
+        """Drop the state of all other endpoints."""
         self.ejections.forget_all_but(instances)
         self.prefill.forget_all_but(instances)
         self.speeds.forget_all_but(instances)
@@ -113,7 +112,7 @@
             del self.full_until_ms[instance]
 
     def occupancies(self, decoders: dict[StartId, str], now_ms: int) -> Occupancies:
-        """The runs of each endpoint that may get work."""
+        """Return the runs of each endpoint that is neither ejected nor full."""
         usable = {
             name: Occupancy(
                 [],
@@ -133,19 +132,19 @@
 
     @property
     def local_prefill_share(self) -> float:
-        """Up to which share of its planned memory a decode endpoint reads by itself."""
+        """The share of its planned memory up to which a decode endpoint does local prefill."""
         return LOCAL_PREFILL_MEMORY_SHARE if self.prefill.prefillers else 1.0
 
     def local_prefillers(self, usable: Occupancies) -> list[StartId]:
-        """The decode endpoints that have the memory to read by themselves."""
+        """Return the decode endpoints whose memory use allows a local prefill."""
         limit = self.local_prefill_share * self.limit_tokens
         return [name for name, held in usable.items() if held.peak_tokens <= limit]
 
     def best_fit(self, ask: MemoryAsk, usable: Occupancies, share: float = 1.0) -> StartId | None:
-        """The endpoint whose foreseen peak with this run is lowest, if that is low enough.
+        """Return the endpoint with the lowest forecast peak for this run; None if it fits nowhere.
 
-        Of those with hardly higher peaks, the fastest. `share` of the planned memory is the most
-        that the peak may take.
+        Among endpoints with nearly the same peak, the fastest is chosen. The peak may take `share`
+        of the planned memory.
         """
         limit = share * self.limit_tokens
         more = self.lengths.more_tokens(0.0, ask.likely_tokens, ask.most_tokens)
