--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -1,4 +1,4 @@
-"""The endpoints that are kept from less urgent waiters for those who fit nowhere yet."""
+"""Reserves endpoints for urgent waiters that fit on none yet."""
 
 import math
 
@@ -17,11 +17,11 @@
 
 @attrs.define
 class Reserve:
-    """What one look at the waiters keeps from less urgent ones.
+    """The endpoints that one step of the planner reserves.
 
-    `kept` are endpoints where a waiter of that priority is to get the next memory: it may need more
-    than others, and would wait in vain while they took whatever becomes free. Nothing is kept for
-    callers that are only expected: that left memory idle.
+    `kept` maps each to the priority of the waiter that is to get its next free memory. That waiter
+    may need more memory than others, and would never fit while less urgent ones took all memory
+    that becomes free. Nothing is reserved for expected requests, since that left memory idle.
     """
 
     rates: RequestRates
@@ -30,17 +30,17 @@
     kept: dict[StartId, int] = attrs.Factory(dict)
 
     def places(self, priority: int) -> int:
-        """How many places a priority and more urgent ones need before another place is free."""
+        """Return how many requests at least as urgent are expected before the next run ends."""
         return math.ceil(self.rates.expected(priority + 1, self.next_place_ms, self.now_ms))
 
     def eligible(self, priority: int, usable: Occupancies) -> Occupancies:
-        """The endpoints that may get a run of this priority."""
+        """Return the endpoints that may get a run of this priority."""
         if not self.kept:
             return usable
         return {k: held for k, held in usable.items() if self.kept.get(k, priority) >= priority}
 
     def keep(self, waiter: Waiter, usable: Occupancies) -> None:
-        """A waiter fits nowhere: the endpoint with most room is kept for it."""
+        """Reserve the endpoint with the lowest peak for a waiter that fits nowhere."""
         most = min(self.places(waiter.priority), KEPT_SHARE * len(usable))
         left = usable.keys() - self.kept.keys() - set(waiter.ask.avoid)
         if left and len(self.kept) < most:
