--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -1,4 +1,4 @@
-"""Tells those whose turn is not foreseen in time when to return, and foresees that turn."""
+"""Rejects waiters whose forecast grant is too late, and spreads their retries."""
 
 import math
 from collections import Counter
@@ -22,10 +22,10 @@
 
 
 def run_ends_per_s(state: PlanState, now_ms: int) -> float:
-    """How many places come free each second, as the present runs end.
+    """Return the rate at which present runs are expected to end, per second; at least 1.
 
-    The rate of the latest grants is no forecast: while memory fills at the start of a burst it is
-    higher, but no run ends for that.
+    The rate of recent grants is no substitute: it is higher while memory fills at the start of a
+    burst, but no run ends then.
     """
     run_ms = [
         FIRST_TOKEN_MS + run.likely_tokens * state.ms_per_token for run in state.runs.values()
@@ -36,7 +36,7 @@
 
 
 def _relative_speed(state: PlanState, now_ms: int) -> float:
-    """How much faster than at the service's average speed the runs end where they are."""
+    """Return the mean speed of the runs' endpoints, relative to the service's average."""
     usual_ms = state.ms_per_token
     runs = Counter(run.instance for run in state.runs.values())
     paces = (
@@ -47,13 +47,12 @@
 
 
 def reject(state: PlanState, decoders: dict[StartId, str], now_ms: int) -> list[Reply]:
-    """Once, when a first refusal must go out: those whose turn is not foreseen in time.
+    """Reject the waiters whose grant is forecast too late, once a rejection is due.
 
-    The forecast counts on what a grant may use: readers, and those decode endpoints that have the
-    memory to read by themselves. When it counted on all decode endpoints, 5 in 100 first callers of
-    a burst were kept waiting and then late, where an early word would have had them back in time;
-    now 1 in 100. Where memory binds, 10 in 100 before and 4 now (`planner_load`).
-    Whoever is told to return takes nothing from those behind.
+    The forecast assumes only the endpoints that a grant may use: prefillers, and decode endpoints
+    with memory for a local prefill. With all decode endpoints, 5 instead of 1 in 100 first attempts
+    of a burst waited and were late, which an early rejection would have had back in time; where
+    memory is the bottleneck 10 instead of 4 (`planner_load`). Rejected waiters do not delay others.
     """
     mixed = state.order.rates.is_mixed(now_ms)
     if not any(_is_pending(waiter, mixed, now_ms) for waiter in state.waiters.values()):
@@ -78,16 +77,16 @@
 
 
 def _is_pending(waiter: Waiter, mixed: bool, now_ms: int) -> bool:
-    """Whether it may have to be told now.
+    """Return whether a waiter may be rejected now.
 
-    While several priorities are heard, those are asked about at once whose turn may come after
-    they have left; they may return, and those who did so before are done.
+    With several priorities this holds from the first tick on, since a waiter's turn may come only
+    after its caller has left.
     """
     return not waiter.decided and (mixed or _is_due(waiter, mixed, now_ms))
 
 
 def _is_due(waiter: Waiter, mixed: bool, now_ms: int) -> bool:
-    """Whether a first refusal must go out, for the caller to return in time."""
+    """Return whether a first rejection is due, so that the caller can retry in time."""
     after_ms: float = FIRST_REJECTION_MS
     if mixed and waiter.ask.target_ms > 0:
         after_ms = min(after_ms, FIRST_REJECTION_SHARE * waiter.ask.target_ms)
@@ -95,9 +94,9 @@
 
 
 def _granted_per_s(state: PlanState, priority: int, per_s: float, now_ms: int) -> float:
-    """The places a second that this priority can get: the more urgent ones leave them.
+    """Return the grants per second that more urgent priorities leave to this one.
 
-    The bound against starvation leaves it one of so many.
+    The bound against starvation guarantees it one grant after every `max_passes` others.
     """
     if not state.order.rates.is_mixed(now_ms):
         return per_s
@@ -108,14 +107,13 @@
 def _wait_ms(
     state: PlanState, waiter: Waiter, before: Counter[int], per_s: float, now_ms: int
 ) -> float:
-    """How long until memory is free for it, when so many waiters of each priority are before it.
+    """Return the forecast time until a waiter gets memory; `before` counts those ahead of it.
 
-    The bound against starvation gives a priority one place of so many, however often others ask.
-    Counted on for those before it of all priorities, its places would seem too late for nearly all
-    of it, and those that the bound lets in would be rejected as well.
+    A priority gets its grants by the bound against starvation however many requests are more
+    urgent. A forecast by the number of all waiters ahead would reject those requests as well.
 
-    Once it is late, all who can be in time come before it: it gets nothing while more ask than
-    there are places.
+    Once a waiter is late, all in-time waiters go first, so it gets nothing while requests arrive
+    faster than runs end.
     """
     left_per_s = per_s
     if state.order.rates.is_mixed(now_ms):
@@ -131,10 +129,10 @@
 
 
 def _must_reject(waiter: Waiter, turn_ms: float, mixed: bool, now_ms: int) -> bool:
-    """Whether a caller's turn comes too late; asked until it is decided.
+    """Return whether a waiter's grant is forecast too late, and mark the waiter as decided.
 
-    One who returned is told at the first look or never: after it has waited, a refusal is worth
-    less than a late turn.
+    A retry is rejected at the first check or never: once it has waited, a late grant is worth more
+    than a rejection.
     """
     if not _is_pending(waiter, mixed, now_ms):
         return False
@@ -148,7 +146,7 @@
 def _retry_after_ms(
     state: PlanState, waiter: Waiter, turn_ms: float, per_s: float, now_ms: int
 ) -> int:
-    """Returns are spread so that they take a part of what the endpoints grant to the priority."""
+    """Return the retry delay; retries are spread so that they take a share of the grants."""
     priority = waiter.priority
     earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
     if state.order.rates.is_mixed(now_ms):
