--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -9,6 +9,7 @@
 from saffronworks.forwarding.planning.tuning import (
     AVERAGE_WEIGHT,
     COUNT_RUNS_EVERY_MS,
+    FULL_WEIGHT_MS,
     LOAD_DECAY,
     LOAD_PRIOR,
     MAX_LOAD_SLOPE,
@@ -21,7 +22,6 @@
     SPEED_LOG_EVERY_MS,
     SPEED_LOG_STEP,
     SPEED_LOGS_PER_S,
-    USUAL_RUN_MS,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
@@ -197,7 +197,7 @@
     Twelve runs of one engine report together, and each of their samples may fall into the same
     moment in which the engine was slow.
     """
-    return SAMPLE_WEIGHT * min(1.0, span_ms / USUAL_RUN_MS)
+    return SAMPLE_WEIGHT * min(1.0, span_ms / FULL_WEIGHT_MS)
 
 
 def _decayed_factor(speed: _Speed, now_ms: int) -> float:
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -13,7 +13,7 @@
 # as well, an endpoint with one run kept half of its difference from the average.
 SPEED_FRESH_MS = 1000
 # A sample that took so long weighs as much as one of the service, a shorter one in proportion.
-USUAL_RUN_MS = 3000
+FULL_WEIGHT_MS = 3000
 # How many times as fast the average follows its samples as an endpoint's factor does: a change of
 # all endpoints must move the average, not the factors.
 AVERAGE_WEIGHT = 4.0
