--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -59,12 +59,12 @@
         return []
     per_s, usable = run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
-    reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
+    prefill_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], Counter[int]()
     for waiter in state.order.forecast(state.waiters.values(), now_ms):
         fits = state.best_fit(waiter.ask, usable) is not None
         memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, before, per_s, now_ms))
-        turn_ms = max(reading_at_ms, memory_at_ms)
+        turn_ms = max(prefill_at_ms, memory_at_ms)
         if _must_reject(waiter, turn_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _retry_after_ms(state, waiter, turn_ms, per_s, now_ms)
@@ -72,7 +72,7 @@
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before[waiter.priority] += 1
-        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
+        prefill_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
 
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -28,18 +28,18 @@
         return []
     per_s, usable = rejections.run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
-    reading_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
+    prefill_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
     replies, before = [], 0
     for waiter in _ranked(state.order, state.waiters.values(), now_ms):
         memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
-        if _must_reject(waiter, max(reading_at_ms, now_ms + memory_ms), now_ms):
+        if _must_reject(waiter, max(prefill_at_ms, now_ms + memory_ms), now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _retry_after_ms(state, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
         before += 1
-        reading_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
+        prefill_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
 
