--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -64,10 +64,10 @@
     for waiter in state.order.forecast(state.waiters.values(), now_ms):
         fits = state.best_fit(waiter.ask, usable) is not None
         memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, before, per_s, now_ms))
-        turn_ms = max(prefill_at_ms, memory_at_ms)
-        if _must_reject(waiter, turn_ms, mixed, now_ms):
+        grant_at_ms = max(prefill_at_ms, memory_at_ms)
+        if _must_reject(waiter, grant_at_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
-            after_ms = _retry_after_ms(state, waiter, turn_ms, per_s, now_ms)
+            after_ms = _retry_after_ms(state, waiter, grant_at_ms, per_s, now_ms)
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
@@ -128,7 +128,7 @@
     return wait_ms + OVERLOAD_LASTS_MS if overloaded else wait_ms
 
 
-def _must_reject(waiter: Waiter, turn_ms: float, mixed: bool, now_ms: int) -> bool:
+def _must_reject(waiter: Waiter, grant_at_ms: float, mixed: bool, now_ms: int) -> bool:
     """Return whether a waiter's grant is forecast too late, and mark the waiter as decided.
 
     A retry is rejected at the first check or never: once it has waited, a late grant is worth more
@@ -137,20 +137,20 @@
     if not _is_pending(waiter, mixed, now_ms):
         return False
     returned = waiter.ask.returned
-    leaves_before = mixed and turn_ms > waiter.patience_deadline_ms
+    leaves_before = mixed and grant_at_ms > waiter.patience_deadline_ms
     waiter.decided = returned or leaves_before or _is_due(waiter, mixed, now_ms)
-    late = waiter.decided and not returned and turn_ms > waiter.target_deadline_ms
+    late = waiter.decided and not returned and grant_at_ms > waiter.target_deadline_ms
     return leaves_before or late
 
 
 def _retry_after_ms(
-    state: PlanState, waiter: Waiter, turn_ms: float, per_s: float, now_ms: int
+    state: PlanState, waiter: Waiter, grant_at_ms: float, per_s: float, now_ms: int
 ) -> int:
     """Return the retry delay; retries are spread so that they take a share of the grants."""
     priority = waiter.priority
     earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
     if state.order.rates.is_mixed(now_ms):
-        earliest_ms = max(earliest_ms, turn_ms)
+        earliest_ms = max(earliest_ms, grant_at_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
     next_ms = state.next_retry_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
     at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MOST_MS)
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -43,11 +43,11 @@
     return replies
 
 
-def _must_reject(waiter, turn_ms, now_ms):
+def _must_reject(waiter, grant_at_ms, now_ms):
     if waiter.decided or now_ms - waiter.arrived_ms < FIRST_REJECTION_MS:
         return False
     waiter.decided = True
-    return not waiter.ask.returned and turn_ms > waiter.target_deadline_ms
+    return not waiter.ask.returned and grant_at_ms > waiter.target_deadline_ms
 
 
 def _retry_after_ms(state, per_s, now_ms):
