--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -60,10 +60,10 @@
     per_s, usable = run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
     prefill_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
-    replies, before = [], Counter[int]()
+    replies, ahead = [], Counter[int]()
     for waiter in state.order.forecast(state.waiters.values(), now_ms):
         fits = state.best_fit(waiter.ask, usable) is not None
-        memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, before, per_s, now_ms))
+        memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, ahead, per_s, now_ms))
         grant_at_ms = max(prefill_at_ms, memory_at_ms)
         if _must_reject(waiter, grant_at_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
@@ -71,7 +71,7 @@
             refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
             replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
             continue
-        before[waiter.priority] += 1
+        ahead[waiter.priority] += 1
         prefill_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
@@ -105,7 +105,7 @@
 
 
 def _wait_ms(
-    state: PlanState, waiter: Waiter, before: Counter[int], per_s: float, now_ms: int
+    state: PlanState, waiter: Waiter, ahead: Counter[int], per_s: float, now_ms: int
 ) -> float:
     """Return the forecast time until a waiter gets memory; `before` counts those ahead of it.
 
@@ -118,10 +118,10 @@
     left_per_s = per_s
     if state.order.rates.is_mixed(now_ms):
         left_per_s -= state.order.rates.per_s(waiter.priority, now_ms)
-    in_order_ms = 1000 * (before.total() + 1) / left_per_s if left_per_s > 0 else math.inf
+    in_order_ms = 1000 * (ahead.total() + 1) / left_per_s if left_per_s > 0 else math.inf
     max_passes = state.order.rates.max_passes(waiter.priority, now_ms)
-    in_turn_ms = 1000 * (before[waiter.priority] + 1) * (max_passes + 1) / per_s
-    wait_ms = min(in_order_ms, max(in_turn_ms, 1000 * (before.total() + 1) / per_s))
+    in_turn_ms = 1000 * (ahead[waiter.priority] + 1) * (max_passes + 1) / per_s
+    wait_ms = min(in_order_ms, max(in_turn_ms, 1000 * (ahead.total() + 1) / per_s))
     if now_ms + wait_ms <= waiter.target_deadline_ms or not state.order.rates.is_mixed(now_ms):
         return wait_ms
     overloaded = state.order.rates.per_s(math.inf, now_ms) >= per_s
