--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -68,8 +68,8 @@
         if _must_reject(waiter, grant_at_ms, mixed, now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _retry_after_ms(state, waiter, grant_at_ms, per_s, now_ms)
-            refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
-            replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
+            rejection = MemoryRefusal(waiter.ask.request_id, after_ms)
+            replies.append(Reply(waiter.ask.reply_to, rejection, waiter.priority))
             continue
         ahead[waiter.priority] += 1
         prefill_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
