--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -115,22 +115,22 @@
         """A run made so many tokens between two reports."""
         if not is_plausible_pace(tokens, span_ms):
             return
-        runs, seen = self._runs[instance], span_ms / tokens
-        speed = self._speed_of(instance, runs, seen, now_ms)
+        runs, sample = self._runs[instance], span_ms / tokens
+        speed = self._speed_of(instance, runs, sample, now_ms)
         if speed is None:
             return
         weight = _sample_weight(span_ms)
-        self._learn_load(speed, runs, seen, weight)
-        self._learn(speed, runs, seen, weight, now_ms)
+        self._learn_load(speed, runs, sample, weight)
+        self._learn(speed, runs, sample, weight, now_ms)
 
     def learn_run(self, instance: StartId, tokens: int, span_ms: int, now_ms: int) -> None:
         """A run ended; how many others there were all along is taken from its endpoint's past."""
         if not is_plausible_pace(tokens, span_ms):
             return
-        seen = span_ms / tokens
-        speed = self._speed_of(instance, self._runs[instance], seen, now_ms)
+        sample = span_ms / tokens
+        speed = self._speed_of(instance, self._runs[instance], sample, now_ms)
         if speed is not None:
-            self._learn(speed, speed.runs, seen, _sample_weight(span_ms), now_ms)
+            self._learn(speed, speed.runs, sample, _sample_weight(span_ms), now_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of endpoints that are gone."""
@@ -160,32 +160,32 @@
         self._logged_ms += [now_ms] * len(news)
         return news
 
-    def _speed_of(self, instance: StartId, runs: int, seen: float, now_ms: int) -> _Speed | None:
+    def _speed_of(self, instance: StartId, runs: int, sample: float, now_ms: int) -> _Speed | None:
         """What is known of an endpoint; None if there is no room for another one."""
         if not self._average:
-            self._average, self._average_runs = seen, float(runs)
+            self._average, self._average_runs = sample, float(runs)
         if instance not in self._speeds and len(self._speeds) < MAX_SPEEDS:
             level = self._average * math.exp(self.load_slope * (runs - self._average_runs))
             self._speeds[instance] = _Speed(1.0, float(runs), level, now_ms)
         return self._speeds.get(instance)
 
-    def _learn_load(self, speed: _Speed, runs: int, seen: float, weight: float) -> None:
+    def _learn_load(self, speed: _Speed, runs: int, sample: float, weight: float) -> None:
         """How far an endpoint's time differs from its usual one, at more or fewer runs."""
         more_runs = runs - speed.runs
-        slower = math.log(_clip(seen / speed.ms_per_token))
+        slower = math.log(_clip(sample / speed.ms_per_token))
         self._run_variance += weight * more_runs**2 - LOAD_DECAY * weight * self._run_variance
         self._covariance += weight * more_runs * slower - LOAD_DECAY * weight * self._covariance
         self._run_variance = max(LOAD_PRIOR, self._run_variance)
 
-    def _learn(self, speed: _Speed, runs: float, seen: float, weight: float, now_ms: int) -> None:
+    def _learn(self, speed: _Speed, runs: float, sample: float, weight: float, now_ms: int) -> None:
         """Move the averages of the endpoint and of the service towards a sample."""
-        alone = seen / math.exp(self.load_slope * (runs - self._average_runs))
+        alone = sample / math.exp(self.load_slope * (runs - self._average_runs))
         known = _decayed_factor(speed, now_ms)
         ratio = known * _clip(alone / self._average / known)
         speed.factor, speed.last_sample_ms = known + weight * (ratio - known), now_ms
         speed.runs += weight * (runs - speed.runs)
         level = speed.ms_per_token
-        speed.ms_per_token += weight * (level * _clip(seen / level) - level)
+        speed.ms_per_token += weight * (level * _clip(sample / level) - level)
         share = AVERAGE_WEIGHT * weight / max(AVERAGE_WEIGHT, len(self._speeds))
         self._average += share * self._average * (_clip(alone / self._average) - 1)
         self._average_runs += share * (runs - self._average_runs)
