--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -149,16 +149,16 @@
         left = SPEED_LOGS_PER_S - len(self._logged_ms)
         if left <= 0:
             return []
-        news = []
+        changes = []
         for instance, speed in self._speeds.items():
             factor = self.factor(instance, now_ms)
             if abs(math.log(factor / speed.logged_factor)) >= SPEED_LOG_STEP:
                 speed.logged_factor = factor
-                news.append(SpeedChange(instance, factor, speed.runs, speed.ms_per_token))
-                if len(news) == left:
+                changes.append(SpeedChange(instance, factor, speed.runs, speed.ms_per_token))
+                if len(changes) == left:
                     break
-        self._logged_ms += [now_ms] * len(news)
-        return news
+        self._logged_ms += [now_ms] * len(changes)
+        return changes
 
     def _speed_of(self, instance: StartId, runs: int, sample: float, now_ms: int) -> _Speed | None:
         """What is known of an endpoint; None if there is no room for another one."""
