--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -179,15 +179,15 @@
 
     def _learn(self, speed: _Speed, runs: float, sample: float, weight: float, now_ms: int) -> None:
         """Move the averages of the endpoint and of the service towards a sample."""
-        alone = sample / math.exp(self.load_slope * (runs - self._average_runs))
+        at_average_load = sample / math.exp(self.load_slope * (runs - self._average_runs))
         known = _decayed_factor(speed, now_ms)
-        ratio = known * _clip(alone / self._average / known)
+        ratio = known * _clip(at_average_load / self._average / known)
         speed.factor, speed.last_sample_ms = known + weight * (ratio - known), now_ms
         speed.runs += weight * (runs - speed.runs)
         level = speed.ms_per_token
         speed.ms_per_token += weight * (level * _clip(sample / level) - level)
         share = AVERAGE_WEIGHT * weight / max(AVERAGE_WEIGHT, len(self._speeds))
-        self._average += share * self._average * (_clip(alone / self._average) - 1)
+        self._average += share * self._average * (_clip(at_average_load / self._average) - 1)
         self._average_runs += share * (runs - self._average_runs)
 
 
