--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -145,7 +145,7 @@
         if now_ms - self._checked_ms < SPEED_LOG_EVERY_MS:
             return []
         self._checked_ms = now_ms
-        self._logged_ms = [told_ms for told_ms in self._logged_ms if now_ms - told_ms < 1000]
+        self._logged_ms = [logged_ms for logged_ms in self._logged_ms if now_ms - logged_ms < 1000]
         left = SPEED_LOGS_PER_S - len(self._logged_ms)
         if left <= 0:
             return []
