--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -165,8 +165,8 @@
         if not self._average:
             self._average, self._average_runs = sample, float(runs)
         if instance not in self._speeds and len(self._speeds) < MAX_SPEEDS:
-            level = self._average * math.exp(self.load_slope * (runs - self._average_runs))
-            self._speeds[instance] = _Speed(1.0, float(runs), level, now_ms)
+            expected_ms = self._average * math.exp(self.load_slope * (runs - self._average_runs))
+            self._speeds[instance] = _Speed(1.0, float(runs), expected_ms, now_ms)
         return self._speeds.get(instance)
 
     def _learn_load(self, speed: _Speed, runs: int, sample: float, weight: float) -> None:
@@ -184,8 +184,8 @@
         ratio = known * _clip(at_average_load / self._average / known)
         speed.factor, speed.last_sample_ms = known + weight * (ratio - known), now_ms
         speed.runs += weight * (runs - speed.runs)
-        level = speed.ms_per_token
-        speed.ms_per_token += weight * (level * _clip(sample / level) - level)
+        expected_ms = speed.ms_per_token
+        speed.ms_per_token += weight * (expected_ms * _clip(sample / expected_ms) - expected_ms)
         share = AVERAGE_WEIGHT * weight / max(AVERAGE_WEIGHT, len(self._speeds))
         self._average += share * self._average * (_clip(at_average_load / self._average) - 1)
         self._average_runs += share * (runs - self._average_runs)
