--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -24,7 +24,7 @@
     """Each is left alone for a while, twice as long when it fails again right after that."""
 
     _ejections: dict[StartId, _Ejection] = attrs.Factory(dict)
-    _news: list[tuple[StartId, int]] = attrs.Factory(list)
+    _new: list[tuple[StartId, int]] = attrs.Factory(list)
 
     def record_failure(self, instance: StartId, now_ms: int) -> None:
         """A request failed there. More that failed meanwhile make it no worse."""
@@ -34,11 +34,11 @@
         again = known is not None and now_ms < known.until_ms + known.span_ms
         span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else EJECTION_MS
         self._ejections[instance] = _Ejection(now_ms + span_ms, span_ms)
-        self._news.append((instance, span_ms))
+        self._new.append((instance, span_ms))
 
     def take_new(self) -> list[tuple[StartId, int]]:
         """Those that are left alone from now on, and for how many ms; each is told once."""
-        news, self._news = self._news, []
+        news, self._new = self._new, []
         return news
 
     def is_ejected(self, instance: StartId, now_ms: int) -> bool:
