--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -38,8 +38,8 @@
 
     def take_new(self) -> list[tuple[StartId, int]]:
         """Those that are left alone from now on, and for how many ms; each is told once."""
-        news, self._new = self._new, []
-        return news
+        new, self._new = self._new, []
+        return new
 
     def is_ejected(self, instance: StartId, now_ms: int) -> bool:
         """Whether it is to get nothing now."""
