--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -31,8 +31,8 @@
         known = self._ejections.get(instance)
         if known is not None and now_ms < known.until_ms:
             return
-        again = known is not None and now_ms < known.until_ms + known.span_ms
-        span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and again else EJECTION_MS
+        repeated = known is not None and now_ms < known.until_ms + known.span_ms
+        span_ms = min(2 * known.span_ms, MAX_EJECTION_MS) if known and repeated else EJECTION_MS
         self._ejections[instance] = _Ejection(now_ms + span_ms, span_ms)
         self._new.append((instance, span_ms))
 
