--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -1,4 +1,4 @@
-"""How long each decode endpoint takes for a token, learnt from its runs on all nodes."""
+"""Estimates the time per token of each decode endpoint from the runs of all nodes."""
 
 import math
 from collections import Counter
@@ -32,14 +32,17 @@
 
 
 def is_plausible_pace(tokens: int, span_ms: int) -> bool:
-    """Whether an engine can have made so many tokens in that time."""
+    """Return whether an engine can make this many tokens in this time."""
     least_ms, most_ms = PLAUSIBLE_MS_PER_TOKEN
     return tokens > 0 and span_ms > 0 and least_ms <= span_ms / tokens <= most_ms
 
 
 @attrs.frozen
 class SpeedChange:
-    """An endpoint's time for a token has changed, as a multiple of the service's average."""
+    """A change of an endpoint's speed that is to be logged.
+
+    `factor` is its time per token as a multiple of the service's average.
+    """
 
     instance: StartId
     factor: float
@@ -49,10 +52,10 @@
 
 @attrs.define
 class _Speed:
-    """What was seen of one endpoint.
+    """The estimates of one endpoint.
 
-    `factor` is its time for a token as a multiple of the average, at an equal number of runs.
-    `runs` and `ms_per_token` are running averages over its samples, to learn from deviations.
+    `factor` is its time per token as a multiple of the average, at an equal number of runs. `runs`
+    and `ms_per_token` are running averages of its samples, from which deviations are measured.
     """
 
     factor: float
@@ -64,12 +67,12 @@
 
 @attrs.define
 class EndpointSpeeds:
-    """The time for a token of each endpoint's start, relative to the service's average.
+    """The time per token of each endpoint's start, relative to the service's average.
 
     An engine is slower the more runs it has. Without a correction, an endpoint would look slow
-    because it has more runs than others. The effect is estimated from how each endpoint's own
-    samples vary with its number of runs, since a comparison between endpoints would confuse it
-    with their speeds: slow endpoints often have fewer runs.
+    because it has more runs than others. The effect of load is estimated from how the samples of
+    each endpoint vary with its number of runs. A comparison between endpoints would confuse the
+    effect with their speeds, since slow endpoints often have fewer runs.
     """
 
     _average: float = 0.0
@@ -84,13 +87,13 @@
 
     @property
     def load_slope(self) -> float:
-        """By which share one more run on an engine lengthens its time for a token."""
+        """The relative increase of an engine's time per token with each further run."""
         return min(MAX_LOAD_SLOPE, max(0.0, self._covariance / self._run_variance))
 
     def factor(self, instance: StartId, now_ms: int) -> float:
-        """Multiple of the average time for a token; 1 for an endpoint that is not known to differ.
+        """Return an endpoint's time per token as a multiple of the average; 1 if none is known.
 
-        It is that of an equal number of runs, so endpoints can be compared by it.
+        The factor is that at an equal number of runs, so endpoints can be compared by it.
         """
         speed = self._speeds.get(instance)
         if speed is None:
@@ -99,7 +102,7 @@
         return factor ** _certainty(factor)
 
     def ms_per_token(self, instance: StartId, usual_ms: float, now_ms: int) -> float:
-        """The time for a token there, where `usual_ms` is the service's average."""
+        """Return an endpoint's time per token; `usual_ms` is the service's average."""
         speed = self._speeds.get(instance)
         certainty = _certainty(_decayed_factor(speed, now_ms)) if speed else 0.0
         if speed is None or not certainty:
@@ -107,12 +110,12 @@
         return usual_ms * (speed.ms_per_token / usual_ms) ** certainty
 
     def count_runs(self, instances: Iterable[StartId], now_ms: int) -> None:
-        """Take the number of runs of each endpoint, unless that was done a moment ago."""
+        """Update the number of runs of each endpoint, at most every `COUNT_RUNS_EVERY_MS`."""
         if self._counted_ms is None or now_ms - self._counted_ms >= COUNT_RUNS_EVERY_MS:
             self._runs, self._counted_ms = Counter(instances), now_ms
 
     def learn_progress(self, instance: StartId, tokens: int, span_ms: int, now_ms: int) -> None:
-        """A run made so many tokens between two reports."""
+        """Learn from the tokens that a run made between two reports."""
         if not is_plausible_pace(tokens, span_ms):
             return
         runs, sample = self._runs[instance], span_ms / tokens
@@ -124,7 +127,7 @@
         self._learn(speed, runs, sample, weight, now_ms)
 
     def learn_run(self, instance: StartId, tokens: int, span_ms: int, now_ms: int) -> None:
-        """A run ended; how many others there were all along is taken from its endpoint's past."""
+        """Learn from a whole run, at the average number of runs of its endpoint."""
         if not is_plausible_pace(tokens, span_ms):
             return
         sample = span_ms / tokens
@@ -133,14 +136,15 @@
             self._learn(speed, speed.runs, sample, _sample_weight(span_ms), now_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
-        """Drop what was learnt of endpoints that are gone."""
+        """Drop the state of all other endpoints."""
         for instance in self._speeds.keys() - instances:
             del self._speeds[instance]
 
     def take_changes(self, now_ms: int) -> list[SpeedChange]:
-        """Endpoints whose speed has changed by a step since it was told; few in a second.
+        """Return the speeds that changed by `SPEED_LOG_STEP` since they were last logged.
 
-        It is asked after each event, and looks at all endpoints only now and then.
+        At most `SPEED_LOGS_PER_S` are returned in a second. Calls are cheap, as the endpoints are
+        checked only every `SPEED_LOG_EVERY_MS`.
         """
         if now_ms - self._checked_ms < SPEED_LOG_EVERY_MS:
             return []
@@ -161,7 +165,7 @@
         return changes
 
     def _speed_of(self, instance: StartId, runs: int, sample: float, now_ms: int) -> _Speed | None:
-        """What is known of an endpoint; None if there is no room for another one."""
+        """Return the estimates of an endpoint; None if `MAX_SPEEDS` others are known."""
         if not self._average:
             self._average, self._average_runs = sample, float(runs)
         if instance not in self._speeds and len(self._speeds) < MAX_SPEEDS:
@@ -170,7 +174,7 @@
         return self._speeds.get(instance)
 
     def _learn_load(self, speed: _Speed, runs: int, sample: float, weight: float) -> None:
-        """How far an endpoint's time differs from its usual one, at more or fewer runs."""
+        """Update the effect of load by a sample's deviation from its endpoint's average."""
         more_runs = runs - speed.runs
         slower = math.log(_clip(sample / speed.ms_per_token))
         self._run_variance += weight * more_runs**2 - LOAD_DECAY * weight * self._run_variance
@@ -192,25 +196,25 @@
 
 
 def _sample_weight(span_ms: int) -> float:
-    """How much a sample counts, by its time.
+    """Return the weight of a sample by the time that it covers.
 
-    Twelve runs of one engine report together, and each of their samples may fall into the same
-    moment in which the engine was slow.
+    Twelve runs of one engine report together, and all their samples may cover the same moment in
+    which the engine was slow.
     """
     return SAMPLE_WEIGHT * min(1.0, span_ms / FULL_WEIGHT_MS)
 
 
 def _decayed_factor(speed: _Speed, now_ms: int) -> float:
-    """The factor after a time without samples: it returns to the average."""
+    """Return the factor as it decays towards 1 without samples."""
     silent_ms = max(0, now_ms - speed.last_sample_ms - SPEED_FRESH_MS)
     return 1 + (speed.factor - 1) * 0.5 ** (silent_ms / SPEED_HALF_LIFE_MS)
 
 
 def _certainty(factor: float) -> float:
-    """How far a factor counts: small ones are noise, others are phased in."""
+    """Return how far a factor is used, 0 to 1: small differences count as noise."""
     return min(1.0, max(0.0, abs(math.log(factor)) / SPEED_BAND - 1.0))
 
 
 def _clip(ratio: float) -> float:
-    """A sample's multiple of what is known, bounded so that an outlier counts little."""
+    """Clip a sample's ratio to its expected value, to limit the effect of outliers."""
     return min(MAX_SLOWDOWN, max(1 / MAX_SLOWDOWN, ratio))
