--- a/saffronworks/forwarding/planning/ejections.py
+++ b/saffronworks/forwarding/planning/ejections.py
@@ -1,4 +1,4 @@
-"""Endpoints that failed requests, as the planner hears of them from all entry nodes."""
+"""Ejects endpoints that failed requests, as reported by all entry nodes."""
 
 from collections.abc import Iterable
 
@@ -21,13 +21,16 @@
 
 @attrs.define
 class EjectionTable:
-    """Each is left alone for a while, twice as long when it fails again right after that."""
+    """The endpoints that get no work for a while after a failure.
+
+    An endpoint that fails again right after its ejection is ejected for twice as long.
+    """
 
     _ejections: dict[StartId, _Ejection] = attrs.Factory(dict)
     _new: list[tuple[StartId, int]] = attrs.Factory(list)
 
     def record_failure(self, instance: StartId, now_ms: int) -> None:
-        """A request failed there. More that failed meanwhile make it no worse."""
+        """Eject an endpoint; further failures during its ejection have no effect."""
         known = self._ejections.get(instance)
         if known is not None and now_ms < known.until_ms:
             return
@@ -37,21 +40,21 @@
         self._new.append((instance, span_ms))
 
     def take_new(self) -> list[tuple[StartId, int]]:
-        """Those that are left alone from now on, and for how many ms; each is told once."""
+        """Return the ejections since the last call, with their duration in ms."""
         new, self._new = self._new, []
         return new
 
     def is_ejected(self, instance: StartId, now_ms: int) -> bool:
-        """Whether it is to get nothing now."""
+        """Return whether an endpoint is ejected now."""
         known = self._ejections.get(instance)
         return known is not None and now_ms < known.until_ms
 
     def forget_all_but(self, instances: set[StartId]) -> None:
-        """Drop what belongs to endpoints that are gone."""
+        """Drop the state of all other endpoints."""
         for instance in self._ejections.keys() - instances:
             del self._ejections[instance]
 
     def usable(self, instances: Iterable[StartId], now_ms: int) -> list[StartId]:
-        """Those that may get work; all of them when none is left, as one may serve again."""
+        """Return the endpoints that are not ejected; all of them if there is none."""
         named = list(instances)
         return [name for name in named if not self.is_ejected(name, now_ms)] or named
