--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -107,7 +107,9 @@
 def _wait_ms(
     state: PlanState, waiter: Waiter, ahead: Counter[int], per_s: float, now_ms: int
 ) -> float:
-    """Return the forecast time until a waiter gets memory; `before` counts those ahead of it.
+    """Return the forecast time until a waiter gets memory.
+
+    `ahead` counts the waiters ahead of it, by priority.
 
     A priority gets its grants by the bound against starvation however many requests are more
     urgent. A forecast by the number of all waiters ahead would reject those requests as well.
