--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -236,7 +236,7 @@
             tokens = 50 if index % 2 else 100
             plan.speeds.learn_run(f"d{index}", 10 * tokens, 4000, START_MS + turn)
     for later_ms in range(0, 2000, 20):
-        planner._tell_speeds(plan, START_MS + later_ms)
+        planner._log_speeds(plan, START_MS + later_ms)
     told = sum(figures.counts.values())
     assert told == len(figures.take_samples()) == 2 * SPEED_LOGS_PER_S, told
 
