--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -257,8 +257,8 @@
     for waiter in islice(offers, MAX_EXAMINED):
         ask = waiter.ask
         uses_local_prefill = state.prefill.uses_local_prefill(now_ms)
-        open_to = _eligible(state, reserve, waiter, usable)
-        instance = _choose_endpoint(state, ask, open_to, uses_local_prefill, now_ms)
+        eligible = _eligible(state, reserve, waiter, usable)
+        instance = _choose_endpoint(state, ask, eligible, uses_local_prefill, now_ms)
         if instance is None:
             if reserve is not None and not waiter.is_late(now_ms):
                 reserve.keep(waiter, usable)
