--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -45,21 +45,21 @@
         """How long a token occupies a usual reader."""
         return self._all.busy_ms / self._all.tokens
 
-    def of(self, reader: StartId) -> float:
+    def of(self, prefiller: StartId) -> float:
         """How long a token occupies this reader."""
-        seen = self._by_prefiller.get(reader, self._all)
+        seen = self._by_prefiller.get(prefiller, self._all)
         return seen.busy_ms / seen.tokens
 
-    def learn(self, reader: StartId, tokens: int, busy_ms: float) -> None:
+    def learn(self, prefiller: StartId, tokens: int, busy_ms: float) -> None:
         """A reader that had the next prompt at hand was done with it so much later.
 
         A prompt without tokens, as callers may send, says nothing of the pace.
         """
         if tokens <= 0:
             return
-        if reader not in self._by_prefiller:
-            self._by_prefiller[reader] = attrs.evolve(self._all)
-        for seen in (self._by_prefiller[reader], self._all):
+        if prefiller not in self._by_prefiller:
+            self._by_prefiller[prefiller] = attrs.evolve(self._all)
+        for seen in (self._by_prefiller[prefiller], self._all):
             seen.add(tokens, busy_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
@@ -116,7 +116,7 @@
             self.free_at_ms -= prompt.tokens * ms_per_token
             self._reset_measurement()
 
-    def finish(self, request_id: str, reader: StartId, pace: PrefillPace, now_ms: int) -> None:
+    def finish(self, request_id: str, prefiller: StartId, pace: PrefillPace, now_ms: int) -> None:
         """A prompt is back; the time since the one before tells the pace, if it was waiting."""
         first = next(iter(self._prompts), None)
         prompt = self._prompts.pop(request_id, None)
@@ -128,13 +128,13 @@
                 and prompt.granted_ms + PREFILL_CALL_MS < self._last_finish_ms
             ):
                 pace.learn(
-                    reader, self._early_tokens + prompt.tokens, now_ms - self._last_finish_ms
+                    prefiller, self._early_tokens + prompt.tokens, now_ms - self._last_finish_ms
                 )
             self._last_finish_ms, self._early_tokens = now_ms, 0
         else:
             self._early_tokens += prompt.tokens
         waiting_tokens = sum(prompt.tokens for prompt in self._prompts.values())
-        self.free_at_ms = now_ms + waiting_tokens * pace.of(reader)
+        self.free_at_ms = now_ms + waiting_tokens * pace.of(prefiller)
 
     def _drop_overdue(self, now_ms: int) -> None:
         overdue_ms = now_ms - PREFILL_OVERDUE_MS
