--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -47,8 +47,8 @@
 
     def of(self, prefiller: StartId) -> float:
         """How long a token occupies this reader."""
-        seen = self._by_prefiller.get(prefiller, self._all)
-        return seen.busy_ms / seen.tokens
+        busy = self._by_prefiller.get(prefiller, self._all)
+        return busy.busy_ms / busy.tokens
 
     def learn(self, prefiller: StartId, tokens: int, busy_ms: float) -> None:
         """A reader that had the next prompt at hand was done with it so much later.
@@ -59,8 +59,8 @@
             return
         if prefiller not in self._by_prefiller:
             self._by_prefiller[prefiller] = attrs.evolve(self._all)
-        for seen in (self._by_prefiller[prefiller], self._all):
-            seen.add(tokens, busy_ms)
+        for busy in (self._by_prefiller[prefiller], self._all):
+            busy.add(tokens, busy_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
         """Drop what was learnt of readers that are gone."""
