--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -25,9 +25,9 @@
 
     def close(self) -> None:
         """The present window is over."""
-        off = self.count - self.mean
-        self.mean += RATE_WEIGHT * off
-        self.variance = (1 - RATE_WEIGHT) * (self.variance + RATE_WEIGHT * off**2)
+        deviation = self.count - self.mean
+        self.mean += RATE_WEIGHT * deviation
+        self.variance = (1 - RATE_WEIGHT) * (self.variance + RATE_WEIGHT * deviation**2)
         self.count = 0
 
 
