--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -107,7 +107,7 @@
 
     def _handle(self, kernel: Kernel, service: str, event: core.Event) -> None:
         now_ms = kernel.now_ms()
-        plan = self._find(service, now_ms)
+        plan = self._find_plan(service, now_ms)
         if plan is None:
             return
         event = _resolve(event, self._directory)
@@ -160,7 +160,7 @@
         for plan in self.plans.values():
             plan.forget_all_but(set(self._directory.endpoints))
 
-    def _find(self, service: str, now_ms: int) -> PlanState | None:
+    def _find_plan(self, service: str, now_ms: int) -> PlanState | None:
         """The plan of a service, made at the first message about it."""
         if service not in self.plans:
             table = self._table()
