--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -116,9 +116,9 @@
         decoders = {endpoint.instance: endpoint.zone for endpoint in usable}
         self._drop_removed_endpoints()
         listed = self._directory.usable(service, now_ms, Role.PREFILL)
-        readers = {endpoint.instance: endpoint.zone for endpoint in listed}
-        names = plan.ejections.usable(readers, now_ms)
-        plan.prefill.prefillers = {name: readers[name] for name in names}
+        prefillers = {endpoint.instance: endpoint.zone for endpoint in listed}
+        names = plan.ejections.usable(prefillers, now_ms)
+        plan.prefill.prefillers = {name: prefillers[name] for name in names}
         replies = core.step(plan, event, decoders, now_ms)
         decisions = plan.shares.take_decisions()
         for reply in replies:
