--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -115,8 +115,8 @@
         usable = self._directory.usable(service, now_ms, Role.DECODE)
         decoders = {endpoint.instance: endpoint.zone for endpoint in usable}
         self._drop_removed_endpoints()
-        listed = self._directory.usable(service, now_ms, Role.PREFILL)
-        prefillers = {endpoint.instance: endpoint.zone for endpoint in listed}
+        prefill_endpoints = self._directory.usable(service, now_ms, Role.PREFILL)
+        prefillers = {endpoint.instance: endpoint.zone for endpoint in prefill_endpoints}
         names = plan.ejections.usable(prefillers, now_ms)
         plan.prefill.prefillers = {name: prefillers[name] for name in names}
         replies = core.step(plan, event, decoders, now_ms)
