--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -94,7 +94,7 @@
         """Hand answers to those who wait for them, until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._report, kernel)
+            tasks.start_soon(self._send_reports, kernel)
             async for message in mailbox:
                 self._handle(message)
 
@@ -226,7 +226,7 @@
         else:
             self._kernel.post("peers", Outgoing(planner, message))
 
-    async def _report(self, kernel: Kernel) -> None:
+    async def _send_reports(self, kernel: Kernel) -> None:
         reported: set[str] = set()
         while True:
             await anyio.sleep(REPORT_EVERY_MS / 1000)
