--- a/saffronworks/forwarding/planning/__init__.py
+++ b/saffronworks/forwarding/planning/__init__.py
@@ -1,1 +1,1 @@
-"""One node plans a service's decode memory and reading for all: who is served next, who returns."""
+"""Plans a service's decode memory and prefill on one node, for all entry nodes."""
