--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -1,4 +1,4 @@
-"""The prompts that each reader has before it, and how fast it reads them, as entry nodes tell."""
+"""The queue of prompts and the observed pace of each prefiller, as reported by entry nodes."""
 
 import attrs
 
@@ -18,7 +18,7 @@
 
 @attrs.define
 class _BusyTime:
-    """Running sums of tokens that were read and of the time that it took; old ones fade."""
+    """Decaying sums of prefilled tokens and of the time that they took."""
 
     tokens: float = PREFILL_PRIOR_TOKENS
     busy_ms: float = PREFILL_PRIOR_TOKENS * PREFILL_MS_PER_TOKEN
@@ -30,11 +30,12 @@
 
 @attrs.define
 class PrefillPace:
-    """How long a prompt token occupies a reader: all of them, and each of those that were seen.
+    """The prefill time per prompt token, of each observed prefiller and of all together.
 
-    Only what a busy reader finishes tells that. The time until a prompt is back holds the calls,
-    the wait for others and the move as well: 160 to 200 ms where 96 ms are spent on reading.
-    Prompts that are read in turns come back together, so sums are compared and not single ones.
+    Samples come only from intervals between prompts of a busy prefiller. The latency of a prompt
+    includes calls, queueing and KV transfer as well: 160 to 200 ms where prefill takes 96 ms.
+    Prompts that are prefilled in turns finish together, so sums are compared instead of single
+    samples.
     """
 
     _all: _BusyTime = attrs.Factory(_BusyTime)
@@ -42,18 +43,18 @@
 
     @property
     def ms_per_token(self) -> float:
-        """How long a token occupies a usual reader."""
+        """The prefill time per token, averaged over all prefillers."""
         return self._all.busy_ms / self._all.tokens
 
     def of(self, prefiller: StartId) -> float:
-        """How long a token occupies this reader."""
+        """Return the prefill time per token of a prefiller; the average if it is unknown."""
         busy = self._by_prefiller.get(prefiller, self._all)
         return busy.busy_ms / busy.tokens
 
     def learn(self, prefiller: StartId, tokens: int, busy_ms: float) -> None:
-        """A reader that had the next prompt at hand was done with it so much later.
+        """Add a sample: the prefiller was busy for `busy_ms` with prompts of `tokens`.
 
-        A prompt without tokens, as callers may send, says nothing of the pace.
+        Prompts without tokens, which callers may send, are ignored.
         """
         if tokens <= 0:
             return
@@ -63,7 +64,7 @@
             busy.add(tokens, busy_ms)
 
     def forget_all_but(self, instances: set[StartId]) -> None:
-        """Drop what was learnt of readers that are gone."""
+        """Drop the state of all other prefillers."""
         for instance in self._by_prefiller.keys() - instances:
             del self._by_prefiller[instance]
 
@@ -77,16 +78,16 @@
 
 @attrs.define
 class PrefillQueue:
-    """What one reader has to read, in the order of the grants.
+    """The prompts that one prefiller has not finished, in the order of their grants.
 
-    `free_at_ms` is when it is foreseen to have read all of it. Each prompt that comes back sets the
-    forecast right; without that, a pace that was taken for a tenth too fast left twelve prompts
-    waiting for a second and more, all through a burst. What does not come back long after its time
-    is taken for lost on its way to the planner: with a third of the nodes cut off, such prompts
-    once kept nine readers at 14 a second in place of 90.
+    `free_at_ms` is the forecast time at which the queue is empty. Each finished prompt corrects it:
+    without that, a pace estimate that was a tenth too fast left twelve prompts waiting for more
+    than a second throughout a burst. Long overdue prompts are dropped, since the message about them
+    was probably lost: with a third of the nodes cut off, such prompts limited nine prefillers to 14
+    prompts a second instead of 90.
 
-    `_last_finish_ms` is when the reader finished the last prompt of which all before it were back,
-    and `_early_tokens` are those of prompts that came back since, before an earlier one.
+    `_last_finish_ms` is the time of the last prompt that finished in order, and `_early_tokens` are
+    the tokens of prompts that have since finished before an earlier one.
     """
 
     free_at_ms: float = 0.0
@@ -95,29 +96,35 @@
     _early_tokens: int = 0
 
     def backlog_ms(self, ms_per_token: float, now_ms: int) -> float:
-        """How long it is busy; what should be read by now and is not may yet take its time."""
+        """Return the forecast time until the queue is empty.
+
+        All prompts but the first count in full, even if they should be finished by now.
+        """
         self._drop_overdue(now_ms)
         overdue_tokens = sum(prompt.tokens for prompt in list(self._prompts.values())[1:])
         return max(0.0, self.free_at_ms - now_ms, overdue_tokens * ms_per_token)
 
     def add(self, request_id: str, tokens: int, prefill_ms: float, now_ms: int) -> None:
-        """A prompt is to be read after the others."""
+        """Append a prompt to the queue."""
         self.occupy(prefill_ms, now_ms)
         self._prompts[request_id] = _Prompt(tokens, now_ms, self.free_at_ms)
 
     def occupy(self, prefill_ms: float, now_ms: int) -> None:
-        """A prompt is to be read by an endpoint that will not tell when it is done."""
+        """Extend the backlog by a prompt whose end will not be reported."""
         self.free_at_ms = max(self.free_at_ms, now_ms) + prefill_ms
 
     def drop(self, request_id: str, ms_per_token: float) -> None:
-        """A prompt is not to be read here after all."""
+        """Remove a prompt that will not be prefilled here."""
         prompt = self._prompts.pop(request_id, None)
         if prompt is not None:
             self.free_at_ms -= prompt.tokens * ms_per_token
             self._reset_measurement()
 
     def finish(self, request_id: str, prefiller: StartId, pace: PrefillPace, now_ms: int) -> None:
-        """A prompt is back; the time since the one before tells the pace, if it was waiting."""
+        """Remove a finished prompt.
+
+        The time since the previous one is a sample of the pace, if the prompt was queued by then.
+        """
         first = next(iter(self._prompts), None)
         prompt = self._prompts.pop(request_id, None)
         if prompt is None:
@@ -145,5 +152,5 @@
             self._reset_measurement()
 
     def _reset_measurement(self) -> None:
-        """What the reader did since it was last seen to finish is not known."""
+        """Start a new sample, since the time from the last finish is not all accounted for."""
         self._last_finish_ms, self._early_tokens = None, 0
