--- a/saffronworks/forwarding/planning/runs.py
+++ b/saffronworks/forwarding/planning/runs.py
@@ -1,4 +1,4 @@
-"""The runs that the planner knows, and what each endpoint's memory is foreseen to hold."""
+"""The runs that the planner knows, and the forecast memory use of each endpoint."""
 
 import attrs
 
@@ -16,10 +16,10 @@
 
 @attrs.define
 class Run:
-    """One run on an endpoint, by the planner's own clock.
+    """A run on an endpoint; times are those of the planner's own clock.
 
-    `made_tokens` of the answer were there at `made_ms`, by the last report; `listed`: there was
-    one. `reader` was to read the prompt. `priority` and `organisation` are those of its ask.
+    By the last report, the answer had `made_tokens` at `made_ms`; `listed` says whether a report
+    has named the run. `reader` is the endpoint that prefills the prompt, None if it is not known.
     """
 
     instance: StartId
@@ -38,13 +38,13 @@
     def growth(
         self, lengths: AnswerLengths, ms_per_token: float, now_ms: int
     ) -> tuple[float, float]:
-        """Tokens in memory now, and how many more are expected."""
+        """Return the tokens in memory now, and how many more are expected."""
         made = min(self._made(ms_per_token, now_ms), self.most_tokens)
         more = lengths.more_tokens(made, self.likely_tokens, self.most_tokens)
         return self.prompt_tokens + made, more
 
     def _made(self, ms_per_token: float, now_ms: int) -> float:
-        """Tokens of the answer by now: as reported, and what came since then at that pace."""
+        """Estimate the tokens of the answer by now, from the last report and the pace."""
         if not self.made_tokens:
             return max(0.0, (now_ms - self.began_ms - FIRST_TOKEN_MS) / ms_per_token)
         since_ms = min(now_ms - self.made_ms, REPORT_LAPSE_MS)
@@ -53,9 +53,10 @@
 
 @attrs.define
 class Occupancy:
-    """An endpoint's runs: present size and expected growth of each, and what they add up to.
+    """The memory use of an endpoint.
 
-    `ms_per_token` is its time for a token, `slowness` that as a multiple of the service's average.
+    `growths` holds the present size and the expected growth of each run in tokens, `slowness` the
+    endpoint's time per token as a multiple of the service's average.
     """
 
     growths: list[tuple[float, float]]
@@ -65,16 +66,16 @@
     ms_per_token: float = MS_PER_TOKEN
 
     def add(self, growth: tuple[float, float]) -> None:
-        """One more run; the peak is worked out by `settle`."""
+        """Add a run; `settle` updates the peak."""
         self.growths.append(growth)
         self.now_tokens += growth[0]
 
     def settle(self) -> None:
-        """Foresee the peak of the runs."""
+        """Update the forecast peak."""
         self.peak_tokens = projected_peak(self.growths)
 
     def may_fit(self, prompt_tokens: int, limit_tokens: float) -> bool:
-        """A cheap look: false only where one more prompt surely exceeds the limit."""
+        """Return False only if one more prompt certainly exceeds the limit; a cheap check."""
         least_tokens = max(self.peak_tokens, self.now_tokens + prompt_tokens)
         return not self.growths or least_tokens <= limit_tokens
 
@@ -83,9 +84,9 @@
 
 
 def projected_peak(growths: list[tuple[float, float]]) -> float:
-    """The most memory that runs of these present sizes and growths will have at one time.
+    """Return the highest memory use of runs with these present sizes and growths, in tokens.
 
-    All grow at the same pace, and each frees its memory at its end.
+    All runs grow at the same pace, and each frees its memory at its end.
     """
     tokens = sum(now for now, _ in growths)
     peak, grown, alive = tokens, 0.0, len(growths)
