--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -1,4 +1,4 @@
-"""How often each priority asks, as far as several of them were heard lately."""
+"""The rates of requests by priority."""
 
 import math
 
@@ -16,7 +16,7 @@
 
 @attrs.define
 class _Rate:
-    """Asks in a window: the running mean and variance, and those of the present window."""
+    """Requests per window: the running mean and variance, and the count of the present window."""
 
     last_request_ms: int
     mean: float = 0.0
@@ -24,7 +24,7 @@
     count: int = 0
 
     def close(self) -> None:
-        """The present window is over."""
+        """Take the present window into the mean and the variance."""
         deviation = self.count - self.mean
         self.mean += RATE_WEIGHT * deviation
         self.variance = (1 - RATE_WEIGHT) * (self.variance + RATE_WEIGHT * deviation**2)
@@ -33,32 +33,33 @@
 
 @attrs.define
 class RequestRates:
-    """The asks of each priority that was heard lately, counted in windows."""
+    """The requests of each priority with recent requests, counted in windows."""
 
     _rates: dict[int, _Rate] = attrs.Factory(dict)
     _window_ends_ms: int = 0
 
     def record(self, priority: int, now_ms: int) -> None:
-        """A request asked for the first time."""
+        """Count a new request."""
         self._roll(now_ms)
         rate = self._rates.setdefault(priority, _Rate(now_ms))
         rate.last_request_ms = now_ms
         rate.count += 1
 
     def is_mixed(self, now_ms: int) -> bool:
-        """Whether more than one priority was heard lately; else priorities have no effect."""
+        """Return whether several priorities had recent requests; else they have no effect."""
         self._roll(now_ms)
         return len(self._rates) > 1
 
     def per_s(self, more_urgent_than: float, now_ms: int) -> float:
-        """Asks a second of all priorities that are more urgent than this one."""
+        """Return the requests per second of all priorities more urgent than this one."""
         self._roll(now_ms)
         return self._mean(more_urgent_than) * 1000 / RATE_WINDOW_MS
 
     def max_passes(self, priority: int, now_ms: int) -> float:
-        """After how many grants in succession to more urgent ones it is this priority's turn.
+        """Return the number of successive grants to more urgent priorities until this one is due.
 
-        A class that asks less often than these gets no greater share of what it asks for.
+        It is higher for a priority with few requests, so that the bound against starvation does
+        not serve a greater share of its requests than of the more urgent ones.
         """
         self._roll(now_ms)
         own = self._rates.get(priority)
@@ -70,7 +71,7 @@
         return sum(rate.mean for name, rate in self._rates.items() if name < more_urgent_than)
 
     def expected(self, more_urgent_than: float, span_ms: float, now_ms: int) -> float:
-        """Asks of more urgent priorities within a span: their mean and one deviation."""
+        """Return the expected requests of more urgent priorities in a span, plus one deviation."""
         self._roll(now_ms)
         windows = span_ms / RATE_WINDOW_MS
         rates = [rate for name, rate in self._rates.items() if name < more_urgent_than]
@@ -78,7 +79,7 @@
         return sum(rate.mean for rate in rates) * windows + spread
 
     def _roll(self, now_ms: int) -> None:
-        """Close the windows that are over; those before the rates are forgotten are enough."""
+        """Close the windows that are over, at most as many as `PRIORITY_LAPSE_MS` holds."""
         if now_ms < self._window_ends_ms:
             return
         over = 1 + (now_ms - self._window_ends_ms) // RATE_WINDOW_MS
