--- a/saffronworks/forwarding/planning/priorities.py
+++ b/saffronworks/forwarding/planning/priorities.py
@@ -1,21 +1,21 @@
-"""The rank of a request where capacity is scarce, by its organisation and route."""
+"""The rank of a request for scarce capacity, by the priorities of its organisation and route."""
 
 from saffronworks.forwarding.routing import DEFAULT_PRIORITY
 
 __all__ = ["DEFAULT_RANK", "clip_rank", "combine_priorities"]
 
-# Priorities run from 0, the most urgent, to this.
+# The least urgent priority; 0 is the most urgent.
 MAX_PRIORITY = 9
 
 
 def combine_priorities(organisation: int | None, route: int) -> int:
-    """The rank, 0 to 99, lower first: the organisation's priority decides before the route's."""
+    """Return the rank, 0 to 99, lower first; the organisation counts before the route."""
     first = DEFAULT_PRIORITY if organisation is None else organisation
     return _clip(first) * (MAX_PRIORITY + 1) + _clip(route)
 
 
 def clip_rank(rank: int) -> int:
-    """The nearest rank that a combination gives, for ranks that other nodes tell."""
+    """Return the nearest valid rank, since messages of other nodes may hold any number."""
     return min(max(rank, 0), (MAX_PRIORITY + 1) ** 2 - 1)
 
 
@@ -23,5 +23,5 @@
     return min(max(priority, 0), MAX_PRIORITY)
 
 
-# Assumed of asks and runs from nodes that report none.
+# Assumed for requests and runs of nodes that send no rank.
 DEFAULT_RANK = combine_priorities(None, DEFAULT_PRIORITY)
