--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -1,4 +1,4 @@
-"""The service that plans decode memory on the node that the others ask: runs `core`."""
+"""The service that plans decode memory on the node chosen as planner: runs `core`."""
 
 import logging
 from collections import Counter
@@ -33,12 +33,12 @@
 
 logger = logging.getLogger(__name__)
 
-# Organisations that one summary of a service logs, every five seconds.
+# Organisations that are logged for a service every five seconds.
 MAX_SHARE_LINES = 8
 
 
 class MemoryPlanner:
-    """Plans for every service that somebody asks it about."""
+    """Plans every service for which requests or reports arrive."""
 
     name = "memory-planner"
 
@@ -63,14 +63,14 @@
         figures.watch("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Answer asks until cancelled."""
+        """Handle messages and ticks until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel)
             async for message in mailbox:
                 self._handle(kernel, message.service, message)
 
     async def _tick(self, kernel: Kernel) -> None:
-        """Let time pass for plans with waiters or runs; a node that plans nothing sleeps."""
+        """Send ticks to plans with waiters or runs; sleep while there are none."""
         while True:
             await self._active.wait()
             await anyio.sleep(PLAN_EVERY_MS / 1000)
@@ -84,7 +84,7 @@
                 self._active = anyio.Event()
 
     def _log_shares(self, plan: PlanState, now_ms: int, last: bool = False) -> None:
-        """Log and count what organisations got, those that wait or were rejected most first."""
+        """Log and count the grants and rejections of organisations, the least served first."""
         summary = plan.shares.take_summary(plan.waiters, now_ms, last)
         if summary is None:
             return
@@ -138,7 +138,7 @@
             )
 
     def _log_speeds(self, plan: PlanState, now_ms: int) -> None:
-        """Log the endpoints whose speed has changed by a step, a few lines a second at most."""
+        """Log and count the endpoints whose speed has changed by a step."""
         for news in plan.speeds.take_changes(now_ms):
             logger.info(
                 "event=endpoint_speed service=%s endpoint=%s factor=%.2f ms_per_token=%.3f "
@@ -153,7 +153,7 @@
             self._figures.record_speed(plan.service, news.factor, news.ms_per_token)
 
     def _drop_removed_endpoints(self) -> None:
-        """Forget what was learnt of endpoints that are gone, once the directory has changed."""
+        """Drop the state of endpoints that a change of the directory removed."""
         if self._directory.revision == self._dropped_revision:
             return
         self._dropped_revision = self._directory.revision
@@ -161,7 +161,7 @@
             plan.forget_all_but(set(self._directory.endpoints))
 
     def _find_plan(self, service: str, now_ms: int) -> PlanState | None:
-        """The plan of a service, made at the first message about it."""
+        """Return the plan of a service, created by its first message; None if it has none."""
         if service not in self.plans:
             table = self._table()
             known = table.services.get(service) if table else None
@@ -179,7 +179,7 @@
         return self.plans[service]
 
     def _count(self, service: str, outcome: str) -> dict[int, int]:
-        """How many were settled so since the node's start, by priority."""
+        """Return the requests with this outcome since the node's start, by priority."""
         return {
             priority: count
             for (name, settled, priority), count in self._settled.items()
@@ -229,7 +229,7 @@
 
 
 def _format_share(decision: Decision | None) -> str:
-    """The organisation's excess at the decision, where there is an organisation or an excess."""
+    """Format the organisation and its excess; empty where there is neither."""
     if decision is None or not (decision.organisation or decision.excess):
         return ""
     return f" organisation={decision.organisation} excess={decision.excess}"
@@ -244,12 +244,12 @@
 
 
 def _format_counts(counts: dict[int, int]) -> str:
-    """Counts by priority, the most urgent first, as one word."""
+    """Format counts by priority as one word, the most urgent first."""
     return ",".join(f"{name}:{count}" for name, count in sorted(counts.items())) or "none"
 
 
 def _resolve(event: core.Event, directory: Directory) -> core.Event:
-    """The same event with each endpoint by its start: earlier versions tell the names alone."""
+    """Resolve endpoint names to starts, since nodes of earlier versions send names alone."""
     resolve = directory.resolve
     match event:
         case MemoryAsk(avoid=avoid, broken=broken) if avoid or broken:
