--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -1,4 +1,4 @@
-"""The entry node's side of planned memory: asks the planner, and reports this node's runs to it."""
+"""The entry node's client of the planner: requests memory, and reports this node's runs."""
 
 import logging
 
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class RunSize:
-    """Tokens of a prompt, and of its answer: the likely number and the most."""
+    """The tokens of a prompt, and the expected and the maximum tokens of its answer."""
 
     prompt_tokens: int
     likely_tokens: int
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class RunOwner:
-    """For whom a run is: the combined rank, lower first, and the organisation, empty if none."""
+    """The owner of a run: its combined rank, lower first, and organisation, empty if none."""
 
     priority: int = DEFAULT_RANK
     organisation: str = ""
@@ -72,10 +72,10 @@
 
 
 class MemoryClient:
-    """Asks the planner of a service; None stands for going on without one.
+    """Sends requests, releases and reports of this node to the planners of services.
 
-    One that does not answer at once is passed over for a while, so that a node which is gone or
-    stands still holds nobody up.
+    A planner that does not answer at once is avoided for a while, so that a node which is gone or
+    suspended delays no request.
     """
 
     name = "memory-client"
@@ -87,11 +87,11 @@
         self._answers: dict[str, list[_Answer]] = {}
         self._arrived: dict[str, anyio.Event] = {}
         self._runs: dict[str, _Run] = {}
-        # When each planner answered an ask of this node last.
+        # Time of each planner's last answer to this node.
         self._answered_ms: dict[str, int] = {}
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Hand answers to those who wait for them, until cancelled."""
+        """Deliver answers and send reports until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_reports, kernel)
@@ -112,7 +112,7 @@
         return self.choice.choose(service, self._kernel.now_ms())
 
     async def ask(self, ask: MemoryAsk) -> MemoryGrant | MemoryRefusal | None:
-        """A grant or a refusal; None when the planner is silent or has no whole plan."""
+        """Request memory; None if the planner is silent or its plan is not complete."""
         planner = self._planner(ask.service) if self._kernel else None
         if planner is None:
             return None
@@ -148,9 +148,9 @@
                     return None
 
     async def _await_turn(self, planner: str, request_id: str) -> _Answer | None:
-        """The answer that follows; None when it is time to ask again.
+        """Return the next answer to a queued request; None when the request is to be resent.
 
-        A planner that answers other requests of this node lives, so it is asked less often.
+        While the planner answers other requests of this node, resends are less frequent.
         """
         asked_ms = self._now_ms()
         while True:
@@ -167,7 +167,7 @@
         return self._kernel.now_ms()
 
     async def _next_answer(self, request_id: str, limit_ms: int) -> _Answer | None:
-        """The newest answer, since a later one settles what an earlier one left open."""
+        """Return the latest answer, since it supersedes the earlier ones; None after the limit."""
         if not self._answers[request_id]:
             self._arrived[request_id] = anyio.Event()
             with anyio.move_on_after(limit_ms / 1000):
@@ -194,23 +194,23 @@
         size: RunSize,
         owner: RunOwner = NO_OWNER,
     ) -> None:
-        """Note a run, whoever granted it, so that the planner hears of it."""
+        """Record a run for the reports to the planner, also if it was not planned."""
         if self._kernel is not None:
             now_ms = self._kernel.now_ms()
             self._runs[request_id] = _Run(service, instance, size, owner, now_ms, 0, now_ms)
 
     def progress(self, request_id: str, made_tokens: int) -> None:
-        """Tokens of a run's answer came."""
+        """Update the tokens of a run's answer."""
         run = self._runs.get(request_id)
         if run is not None and self._kernel is not None:
             run.made_tokens, run.made_ms = made_tokens, self._kernel.now_ms()
 
     def end_prefill(self, ended: ReadingEnded) -> None:
-        """A reader has read a prompt, or will not do so."""
+        """Tell the planner that a prompt's prefill has finished, or will not take place."""
         self._send_to_planner(ended)
 
     def end(self, release: MemoryRelease) -> None:
-        """A run is over, or its request is given up."""
+        """Remove a run that has ended or was given up, and tell the planner."""
         self._runs.pop(release.request_id, None)
         self._send_to_planner(release)
 
@@ -258,7 +258,7 @@
 
 
 def _update_times(ask: MemoryAsk, elapsed_ms: int) -> MemoryAsk:
-    """The same ask some time later."""
+    """Return the same request with the times left after `elapsed_ms`."""
     return attrs.evolve(
         ask,
         waited_ms=ask.waited_ms + elapsed_ms,
