--- a/saffronworks/forwarding/planning/messages.py
+++ b/saffronworks/forwarding/planning/messages.py
@@ -26,12 +26,12 @@
 
 @attrs.frozen
 class MemoryAsk:
-    """Entry to planner: a generation wants memory. Sent again until it is granted or refused.
+    """Entry to planner: request memory for a generation; resent until granted or rejected.
 
-    `in_time_ms` is left until a grant comes too late for the target, `patience_ms` until the
-    entry gives up; `avoid` names endpoints that had no room for it or failed it, `broken` the
-    latter alone. `priority` is the combined rank, lower first; `organisation` is empty and
-    `target_ms` 0 where unknown, as from a node of the release before.
+    A grant after `in_time_ms` misses the target, and after `patience_ms` the entry node gives up.
+    `avoid` names endpoints that had no room for the request or failed it, `broken` those that
+    failed it. `priority` is the combined rank, lower first. `organisation` is empty and `target_ms`
+    0 if unknown, as from a node of the previous release.
     """
 
     request_id: str
@@ -53,9 +53,9 @@
 
 @attrs.frozen
 class MemoryGrant:
-    """Planner to entry: reserve at this endpoint now, and have the prompt read by `reader`.
+    """Planner to entry: reserve memory at `instance`, and have `reader` prefill the prompt.
 
-    That may be the same endpoint.
+    Both are the same endpoint for a local prefill.
     """
 
     request_id: str
@@ -65,21 +65,21 @@
 
 @attrs.frozen
 class MemoryQueued:
-    """Planner to entry: wait; the planner lives."""
+    """Planner to entry: the request is queued, and the planner is alive."""
 
     request_id: str
 
 
 @attrs.frozen
 class MemoryDirect:
-    """Planner to entry: ask the endpoints yourself, the plan is not whole yet."""
+    """Planner to entry: choose an endpoint without the planner, whose plan is not complete."""
 
     request_id: str
 
 
 @attrs.frozen
 class MemoryRefusal:
-    """Planner to entry: no memory in time; the caller may return after `retry_after_ms`."""
+    """Planner to entry: no memory in time; the caller may retry after `retry_after_ms`."""
 
     request_id: str
     retry_after_ms: int
@@ -87,10 +87,10 @@
 
 @attrs.frozen
 class MemoryRelease:
-    """Entry to planner: a run is over, or its request is given up.
+    """Entry to planner: a run has ended, or its request was given up.
 
-    Of a run that was streamed: its tokens and how long they took. `broken` names the endpoints that
-    failed the request; `length_tokens` is the length of an answer that came whole.
+    A streamed run made `answer_tokens` in `stream_ms`. `broken` names the endpoints that failed the
+    request. `length_tokens` is the length of a complete answer, else 0.
     """
 
     request_id: str
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class ReadingEnded:
-    """Entry to planner: `reader` has read the prompt, or (`whole` false) will not do so."""
+    """Entry to planner: `reader` has prefilled the prompt, or will not if `whole` is false."""
 
     request_id: str
     service: str
@@ -113,9 +113,9 @@
 
 @attrs.frozen
 class LiveRun:
-    """One run that an entry node has under way.
+    """A live run of an entry node.
 
-    `made_tokens` came so far, the last of them `quiet_ms` ago.
+    `made_tokens` of its answer have arrived, the last of them `quiet_ms` ago.
     """
 
     request_id: str
@@ -132,7 +132,7 @@
 
 @attrs.frozen
 class MemoryReport:
-    """Entry to planner: all runs that the node has under way, whoever granted them."""
+    """Entry to planner: all live runs of a service on this node, planned or not."""
 
     reply_to: str
     service: str
@@ -141,12 +141,12 @@
 
 @attrs.frozen
 class ReportWanted:
-    """Planner to entry: tell me at once what runs, be it nothing. Its plan begins."""
+    """Planner to entry: send a report at once, also without runs, since a new plan starts."""
 
     service: str
     reply_to: str
 
 
-# What a planner hears of entry nodes, and what entry nodes hear of planners.
+# The messages that planners receive from entry nodes, and entry nodes from planners.
 PLANNER_MESSAGES = (MemoryAsk, MemoryRelease, MemoryReport, ReadingEnded)
 ENTRY_MESSAGES = (MemoryGrant, MemoryQueued, MemoryDirect, MemoryRefusal, ReportWanted)
