--- a/saffronworks/forwarding/planning/lengths.py
+++ b/saffronworks/forwarding/planning/lengths.py
@@ -1,4 +1,4 @@
-"""How long answers become, against what their callers' hints said: learnt from those that ended."""
+"""Estimates the lengths of answers from their callers' hints and from answers that have ended."""
 
 import math
 from bisect import bisect_right, insort
@@ -16,22 +16,23 @@
 
 __all__ = ["AnswerLengths"]
 
-# Made-up samples until answers have ended: enough for a smooth start, few enough to give way soon.
+# Prior samples until answers have ended: enough for a smooth estimate, few enough to be replaced
+# soon.
 PRIOR_SAMPLES = 40
 
 
 def _prior() -> list[float]:
-    """Ratios of a hint that is right in the median, at even steps of probability."""
+    """Return prior ratios of length to hint: quantiles of a distribution with median 1."""
     steps = [(index + 0.5) / PRIOR_SAMPLES for index in range(PRIOR_SAMPLES)]
     return [math.exp(HINT_ERROR * NormalDist().inv_cdf(step)) for step in steps]
 
 
 @attrs.define
 class AnswerLengths:
-    """The newest ratios of an answer's length to its hint.
+    """The latest ratios of an answer's length to its hint.
 
-    A run that is under way is more likely a long one: where half of all answers outgrow their hint,
-    one that has reached it is expected to make another half of it.
+    The longer a run is already, the longer it is expected to become: where half of all answers
+    exceed their hint, one that has reached its hint is expected to make another half of it.
     """
 
     _newest: deque[float] = attrs.Factory(lambda: deque(_prior(), LENGTH_SAMPLES))
@@ -42,7 +43,7 @@
         self._add_up()
 
     def learn(self, likely_tokens: int, tokens: int) -> None:
-        """An answer ended."""
+        """Add the length of an answer that has ended."""
         if likely_tokens <= 0 or tokens <= 0:
             return
         if len(self._newest) == LENGTH_SAMPLES:
@@ -53,7 +54,7 @@
         self._add_up()
 
     def more_tokens(self, made_tokens: float, likely_tokens: int, most_tokens: int) -> float:
-        """How many more tokens are expected of an answer that has made so many."""
+        """Return how many more tokens are expected of an answer with `made_tokens`."""
         ratio = made_tokens / max(1, likely_tokens)
         index = bisect_right(self._sorted, ratio)
         longer = len(self._sorted) - index
@@ -64,5 +65,5 @@
         return max(0.0, min(more, most_tokens - made_tokens))
 
     def _add_up(self) -> None:
-        """For each place in the order, the sum of the ratios from there on."""
+        """Update the sums of the sorted ratios from each index to the end."""
         self._sums = list(accumulate(reversed(self._sorted)))[::-1]
