--- a/saffronworks/forwarding/planning/share_counts.py
+++ b/saffronworks/forwarding/planning/share_counts.py
@@ -1,4 +1,4 @@
-"""What organisations asked for and got since the last summary, for logs and metrics."""
+"""Counts of grants and rejections by organisation, for logs and metrics."""
 
 import heapq
 from collections import Counter
@@ -7,15 +7,15 @@
 
 __all__ = ["OTHERS", "Claimant", "Decision", "ShareCounts", "ShareRow", "ShareSummary"]
 
-# An organisation of one priority.
+# A priority and an organisation.
 Claimant = tuple[int, str]
 
 SUMMARY_EVERY_MS = 5000
-# A summary is due long before so many are counted; where nobody takes it, counting begins anew.
+# Limit of counted claimants. A summary is due long before; if none is taken, counts restart.
 MAX_COUNTED = 4096
-# Decisions that wait to be logged; one step of the planner takes some hundreds in a burst.
+# Limit of decisions that are not logged yet; a step of the planner makes some hundreds in a burst.
 MAX_DECISIONS = 512
-# Claimants that a summary names; all others together are `OTHERS`, of no priority.
+# Claimants with a row of their own in a summary; `OTHERS` sums up the rest, without a priority.
 MAX_ROWS = 64
 OTHERS = "(others)"
 
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ShareRow:
-    """One organisation's waiters and excess now, and its grants and rejections of a summary."""
+    """The present waiters and excess of a claimant, and its grants and rejections in a summary."""
 
     priority: int | None
     organisation: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class ShareSummary:
-    """Those that wait or were rejected most first, and how many claimants there were in all."""
+    """The rows of claimants, the least served first, and the number of all claimants."""
 
     claimants: int
     rows: list[ShareRow]
@@ -69,13 +69,13 @@
         self.decisions[decision.request_id] = decision
 
     def due(self, now_ms: int) -> bool:
-        """Whether it is time for a summary."""
+        """Return whether a summary is due."""
         return now_ms - self.since_ms >= SUMMARY_EVERY_MS
 
     def take(
         self, waiting: Counter[Claimant], excesses: dict[Claimant, int], now_ms: int
     ) -> ShareSummary:
-        """Sum up; counts restart."""
+        """Return a summary, and restart the counts."""
 
         def need(claimant: Claimant) -> tuple[int, int, Claimant]:
             unserved = waiting[claimant] + self.rejected[claimant]
