--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -1,9 +1,9 @@
-"""Max-min shares of scarce decode memory among organisations, by priority.
+"""Max-min fair shares of scarce decode memory among organisations, by priority.
 
-An organisation's service is the memory that its runs hold, plus what it was granted recently. It is
-counted in usual runs, so that a grant of a usual size is 1. The fair level is such that the service
-of a priority, if it were shared out by max-min fairness to all who hold and ask, gives none more.
-Shares only order waiters: what some leave unused goes to others, whatever their excess.
+An organisation's service is the memory that its runs hold, plus its recent grants. The unit is a
+run of mean size. The fair level of a priority is the largest share of any organisation, if its
+service were divided by max-min fairness among all that hold or request memory. Shares only order
+waiters: memory that some leave unused goes to others, whatever their excess.
 """
 
 from collections import Counter
@@ -26,29 +26,30 @@
 
 __all__ = ["FairShares"]
 
-# Shares apply while asks of more than one organisation came within this time.
+# Shares apply while several organisations had requests within this time.
 SHARED_FOR_MS = 30_000
-# Levels change slowly against this. A look at 4,000 claimants takes 5 ms on a whole core, so it is
-# taken less often where there are many.
+# Interval at which levels are computed; they change slowly. For 4,000 claimants this takes 5 ms of
+# a core, so the interval grows with their number.
 LEVELS_EVERY_MS = 100
 CLAIMANTS_PER_MS = 10
 PRUNE_EVERY_MS = 1000
 MAX_CLAIMANTS = 4096
-# How many are left once there are more, so that evictions are rare.
+# Claimants that an eviction keeps: fewer than the limit, so that evictions are rare.
 CLAIMANTS_KEPT = 3584
 
 
 class _Waiting(Protocol):
-    """What is read of a waiter."""
+    """The part of a waiter that shares depend on."""
 
     ask: MemoryAsk
 
 
 @attrs.define
 class FairShares:
-    """The shares of one service's decode memory.
+    """The fair shares of one service's decode memory.
 
-    `look` takes in runs and waiters, `excess` answers, `note_...` tell what became of an ask.
+    `update` takes the present runs and waiters, the methods `record_...` take requests and their
+    outcomes, and `excess` returns the result.
     """
 
     counts: ShareCounts = attrs.Factory(ShareCounts)
@@ -66,9 +67,9 @@
     _pruned_ms: int = 0
 
     def excess(self, organisation: str, priority: int, now_ms: int) -> int:
-        """How many whole shares an organisation has; 0 while it is below its share.
+        """Return the number of whole fair shares that an organisation has; 0 below one share.
 
-        It is 0 as well while nobody waits for lack of capacity, and with one organisation.
+        It is also 0 while nobody waits for lack of capacity, and with a single organisation.
         """
         if not self._applies:
             return 0
@@ -81,9 +82,9 @@
         return known
 
     def update(self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int) -> None:
-        """Take in who holds and who waits, before grants are decided.
+        """Update the shares from the runs and waiters, before the next grants.
 
-        Only who was left over by the last decision waits for lack of capacity.
+        Only waiters that the previous step did not serve wait for lack of capacity.
         """
         scarce = any(request_id in waiters for request_id in self._unserved)
         self._applies = scarce and self._is_shared(now_ms)
@@ -95,7 +96,7 @@
             self._pruned_ms = now_ms
 
     def record_request(self, ask: MemoryAsk, now_ms: int) -> None:
-        """A new ask, not one that comes again while it waits."""
+        """Record a new request; requests that are resent while they wait do not count."""
         if ask.organisation != self._last_organisation:
             self._last_other_ms = (
                 self._last_request_ms if self._last_organisation is not None else None
@@ -107,7 +108,7 @@
         self._mean_run_tokens = known + LENGTH_SAMPLE_WEIGHT * (tokens - known)
 
     def record_grant(self, ask: MemoryAsk, now_ms: int) -> None:
-        """An ask was granted: it is charged."""
+        """Record a grant, and charge its organisation."""
         claimant = _claimant(ask)
         self.counts.record(self.counts.granted, claimant, self._decision(ask, now_ms))
         self._charge(claimant, self._cost(_tokens(ask)), now_ms)
@@ -115,17 +116,17 @@
             self._granted.evict_least(CLAIMANTS_KEPT, now_ms)
 
     def record_revoked_grant(self, run: Run, now_ms: int) -> None:
-        """A grant found no room: its charge is given back, since it is asked for again."""
+        """Refund a grant that found no room, since its request comes again."""
         claimant = _claimant(run)
         if claimant in self._granted.served:
             self._charge(claimant, -self._cost(_tokens(run)), now_ms)
 
     def record_unserved(self, waiters: Mapping[str, _Waiting]) -> None:
-        """Those who are left over by a decision on grants."""
+        """Record the waiters that a step did not serve."""
         self._unserved = {request_id: waiter.ask for request_id, waiter in waiters.items()}
 
     def record_rejections(self, messages: Iterable[object], now_ms: int) -> None:
-        """Some of those who were left over are told to return."""
+        """Record the rejections of waiters that were not served."""
         for message in messages:
             if isinstance(message, MemoryRefusal) and message.request_id in self._unserved:
                 ask = self._unserved[message.request_id]
@@ -135,9 +136,9 @@
     def take_summary(
         self, waiters: Mapping[str, _Waiting], now_ms: int, last: bool = False
     ) -> ShareSummary | None:
-        """What claimants got; None until it is time again, empty with one organisation.
+        """Return a summary of claimants: None until it is due, empty with a single organisation.
 
-        `last`: at once, since nothing runs or waits any more.
+        `last` requests it at once, since nothing runs or waits any more.
         """
         if not last and not self.counts.due(now_ms):
             return None
@@ -147,12 +148,12 @@
         return summary if self._is_shared(now_ms) else ShareSummary(0, [])
 
     def take_decisions(self) -> dict[str, Decision]:
-        """Grants and rejections since the last call, by request; each is told once."""
+        """Return the grants and rejections since the last call, by request."""
         decisions, self.counts.decisions = self.counts.decisions, {}
         return decisions
 
     def _is_shared(self, now_ms: int) -> bool:
-        """Whether more than one organisation asked lately."""
+        """Return whether several organisations had recent requests."""
         return self._last_other_ms is not None and now_ms - self._last_other_ms <= SHARED_FOR_MS
 
     def _set_levels(
@@ -176,7 +177,7 @@
         self._excesses, self._levels_ms = {}, now_ms
 
     def _sum_up(self, sized: Iterable[Run | MemoryAsk]) -> dict[Claimant, float]:
-        """The memory of runs or asks by claimant, in usual runs."""
+        """Return the memory of runs or requests by claimant, in runs of mean size."""
         sums: dict[Claimant, float] = {}
         for each in sized:
             claimant = _claimant(each)
@@ -204,6 +205,6 @@
 
 
 def _tokens(of: MemoryAsk | Run) -> int:
-    """The memory of a run that ends as foreseen, or that grew beyond that."""
+    """Return the expected final memory of a run, or its present one if that is higher."""
     made = of.made_tokens if isinstance(of, Run) else 0
     return of.prompt_tokens + max(min(of.likely_tokens, of.most_tokens), made)
