--- a/saffronworks/tests/features/memory.feature
+++ b/saffronworks/tests/features/memory.feature
@@ -1,76 +1,76 @@
 Feature: planned decode memory
 
-  Scenario: the foreseen peak is the most that runs have at one time
-    Then for any runs the foreseen peak is that of a token by token play
+  Scenario: the forecast peak is the highest memory use of the runs at any time
+    Then for any runs the forecast peak is that of a token-by-token simulation
 
-  Scenario: what is granted leaves room in every endpoint for longer answers
-    Then whatever is asked, released and reported, foreseen peaks leave the margin free
-    And a small memory keeps room for as many answers beyond the plan as a large one
-    And an endpoint whose slots are taken gets nothing, however much memory is free
+  Scenario: grants leave a margin on every endpoint for longer answers
+    Then for any requests, releases and ticks, forecast peaks leave the margin free
+    And the margin holds the same number of answers for a small memory as for a large one
+    And an endpoint without a free slot gets no grant, however much memory is free
 
-  Scenario: those who can be in time come first, and no one is refused who is foreseen in time
+  Scenario: in-time requests come first, and only requests forecast too late are rejected
     Given a plan whose only endpoint is full
-    Then a late one does not pass one who can be in time
-    And one who returned takes its turn with those who come first, by the time that each has left
-    And one whose turn is not foreseen in time is told to return, later ones later
-    And one who returned is kept waiting
-
-  Scenario: no place is granted whose prompt would wait long for its reading
-    Given a plan with free memory and a single reader
-    Then places are granted as fast as prompts are read, the most pressing first
-    And one who fits is not refused while its reading is foreseen in time
-    And one whom only endpoints short of memory could read for in time is told to return
-    And an endpoint that failed a request gets nothing for a while
-
-  Scenario: what one node meets at an endpoint, all nodes are spared
-    Given a plan that hears from a node that an endpoint failed its request
-    Then requests of other nodes go elsewhere for a while, and are granted if there is no other
-    And when it fails again right after that, it is left alone for twice as long
-    And what is known of endpoints that are gone is forgotten
-
-  Scenario: how long answers become is learnt
-    Then an answer that has reached its hint is expected to go on for half as long again
-    And after many answers that ended at their hints hardly anything more is expected
-    And whatever was learnt, no more is expected than an answer may have
-    And for any answers it is what a naive mean over the longer ones gives
-
-  Scenario: reports tell how far runs are
-    Given a plan whose runs made more than was likely
-    Then their endpoint has less room than one whose runs made little
-    And an endpoint whose run came to a halt gets nothing for a while
+    Then a late request is not granted before an in-time one
+    And a retry is ordered among first attempts by its deadline
+    And requests forecast too late are rejected, with ever longer retry delays
+    And a late retry is not rejected
+
+  Scenario: no memory is granted while the prompt would wait long for its prefill
+    Given a plan with free memory and a single prefiller
+    Then memory is granted at the rate of prefill, the earliest deadline first
+    And a request that fits is not rejected while its prefill is forecast in time
+    And a request is rejected if only endpoints short of memory could prefill it in time
+    And an endpoint that failed a request gets no grant for a while
+
+  Scenario: a failure that one node reports ejects the endpoint for all nodes
+    Given a plan with a node's report that an endpoint failed its request
+    Then requests of other nodes avoid the endpoint for a while, unless there is no other
+    And when it fails again right after that, it is ejected for twice as long
+    And the state of removed endpoints is dropped
+
+  Scenario: the lengths of answers are learnt
+    Then an answer that has reached its hint is expected to grow by about another half
+    And after many answers of the hinted length, an answer is expected to end at its hint
+    And the expected length never exceeds the maximum of the answer
+    And the expected length is the mean of the longer answers
+
+  Scenario: reports update the progress of runs
+    Given a plan with a run that exceeds its expected length
+    Then its endpoint has less room than one with a short run
+    And an endpoint with a stalled run gets no grant for a while
 
   Scenario: a grant that found no room
-    Given a plan that granted a place where there was no room
-    Then the endpoint is asked for no other place until one of its runs ends
-    And the reader is not taken for busy with the prompt
-
-  Scenario: readers share the prompts
-    Given a plan with two readers in different zones
-    Then prompts go to the nearer one first, then to the one that is free first
-    And a reader that takes long gets fewer prompts
-    And prompts without tokens leave its pace as it is
-    And without readers each decode endpoint reads one prompt at a time
-    And while readers are busy a decode endpoint reads by itself only if much of its memory is free
-
-  Scenario: a burst does not wear the planner out
-    Given a plan with many endpoints that are all full, and many who wait
-    Then a tick looks at each endpoint a few times at most, and a report at none
-
-  Scenario: a planner that is new, or that stood still, does not plan before it has heard all
-    Given a planner that is asked for the first time
-    Then it sends the asker to the endpoints until it has heard the reports
-    And not any more once each node has told what runs there, be it nothing
-    And who waited for a node that is gone is sent on in a moment
-    And after it stood still it does so again
-
-  Scenario: a planner that only hears reports knows which runs are over
-    Given a second planner that heard the reports of many short runs
-    Then it counts those of the newest report alone
-    And a grant that a report crossed on its way is counted on
-
-  Scenario: runs of a node that is gone are forgotten
-    Given a plan with runs of two nodes of which one reports no more
-    Then only the runs of the other one remain
+    Given a plan with a grant on an endpoint that had no room
+    Then the endpoint gets no grant until one of its runs ends
+    And the prompt does not count in the prefill backlog
+
+  Scenario: prompts are spread over the prefillers
+    Given a plan with two prefillers in different zones
+    Then prompts go to the prefiller in the same zone first, then to the one that is free first
+    And a slow prefiller gets fewer prompts
+    And prompts without tokens do not change the estimated pace
+    And without prefillers each decode endpoint prefills one prompt at a time
+    And local prefill is used while prefillers are busy, on endpoints with much free memory only
+
+  Scenario: the cost of a step is bounded in a burst
+    Given a plan with many full endpoints and many waiters
+    Then a tick computes a few peaks for each endpoint at most, and a report none
+
+  Scenario: a new or resumed planner does not plan before it has all reports
+    Given a planner that receives its first request
+    Then it answers that requests go on without it until the warm-up is over
+    And it plans as soon as each node has reported, with or without runs
+    And requests that wait for the report of a lost node go on without the planner soon
+    And after a suspension it warms up again
+
+  Scenario: a standby planner learns of the end of runs from reports
+    Given a standby planner with the reports of many short runs
+    Then it counts the runs of the latest report only
+    And a grant that is newer than a report still counts
+
+  Scenario: runs of a lost node expire
+    Given a plan with runs of two nodes, of which one no longer reports
+    Then only the runs of the other node remain
 
   Scenario: all nodes choose the same planner, a strong one
     Given a census of strong and weak nodes
@@ -79,25 +79,25 @@
     And one that stays silent is asked ever less often, until it answers
     And a weak one is chosen when no strong one is left
 
-  Scenario: a planner that does not answer holds nobody up
-    When a node asks a planner that is gone
-    Then it goes on without within a tenth of a second, and passes that planner over
+  Scenario: a planner that does not answer delays no request
+    When a node sends a request to a planner that is gone
+    Then it goes on without it within a tenth of a second, and avoids that planner
 
-  Scenario: nodes that start together plan at once
-    When the first ask reaches a planner that has just started with the other nodes
-    Then it grants at once, as each node has told that nothing runs
-    And a node that has just started passes a silent planner over for a moment only
+  Scenario: nodes that start together plan without a warm-up
+    When the first request reaches a planner that has just started with the other nodes
+    Then it grants at once, as each node has reported no runs
+    And a node that has just started avoids a silent planner for a moment only
 
-  Scenario: nodes plan together
-    Given two nodes of which one plans
-    When the other one asks for more than fits
-    Then it is granted what fits, waits for the rest, and gets it after a release
+  Scenario: one node plans for another
+    Given two nodes, one of which is the planner
+    When the other node requests more memory than fits
+    Then it is granted what fits, and the rest after a release
 
-  Scenario: the planner counts on a granted place until it is given up
+  Scenario: a grant counts until it is given up
     When a node is granted a place, has the prompt read there, and then finds no way to the endpoint
     Then the planner hears of the reading, and of the end only when the place is given up
     And a place without room is asked for again without telling an end
 
-  Scenario: a node that starts again takes part in planning at once
+  Scenario: a restarted node takes part in planning at once
     When a node enters itself in a store where others have entered before
     Then it knows all of them at once, not only at the second count
--- a/saffronworks/tests/features/steps/answer_lengths_steps.py
+++ b/saffronworks/tests/features/steps/answer_lengths_steps.py
@@ -12,7 +12,7 @@
 )
 
 
-@then("an answer that has reached its hint is expected to go on for half as long again")
+@then("an answer that has reached its hint is expected to grow by about another half")
 def half_again(context):
     rng, lengths = random.Random(5), AnswerLengths()
     assert 400 < lengths.more_tokens(1000, 1000, 10_000) < 600
@@ -22,7 +22,7 @@
     assert 1000 < lengths.more_tokens(0, 1000, 10_000) < 1300
 
 
-@then("after many answers that ended at their hints hardly anything more is expected")
+@then("after many answers of the hinted length, an answer is expected to end at its hint")
 def hardly_more(context):
     lengths = AnswerLengths()
     for _ in range(LENGTH_SAMPLES):
@@ -31,7 +31,7 @@
     assert abs(lengths.more_tokens(0, 1000, 10_000) - 1000) < 1
 
 
-@then("for any answers it is what a naive mean over the longer ones gives")
+@then("the expected length is the mean of the longer answers")
 def naive_mean(context):
     @forall(
         st.lists(st.integers(1, 9000), min_size=LENGTH_SAMPLES, max_size=LENGTH_SAMPLES + 40),
@@ -49,7 +49,7 @@
     check()
 
 
-@then("whatever was learnt, no more is expected than an answer may have")
+@then("the expected length never exceeds the maximum of the answer")
 def within_most(context):
     @forall(
         st.lists(st.tuples(st.integers(0, 5000), st.integers(0, 9000)), max_size=300),
--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -14,7 +14,7 @@
 )
 
 
-@given("a plan that hears from a node that an endpoint failed its request")
+@given("a plan with a node's report that an endpoint failed its request")
 def hears_failure(context):
     context.plan = warm_plan()
     fail_at(context.plan, START_MS)
@@ -34,7 +34,7 @@
     return grants[0].instance
 
 
-@then("requests of other nodes go elsewhere for a while, and are granted if there is no other")
+@then("requests of other nodes avoid the endpoint for a while, unless there is no other")
 def elsewhere(context):
     plan = context.plan
     assert first_choice(plan, "b", START_MS + 1) == "d1"
@@ -42,7 +42,7 @@
     assert first_choice(plan, "d", START_MS + EJECTION_MS) == "d0"
 
 
-@then("when it fails again right after that, it is left alone for twice as long")
+@then("when it fails again right after that, it is ejected for twice as long")
 def twice_as_long(context):
     plan, again_ms = context.plan, START_MS + EJECTION_MS + 1
     fail_at(plan, again_ms)
@@ -51,7 +51,7 @@
     assert first_choice(plan, "f", again_ms + 2 * EJECTION_MS) == "d0"
 
 
-@then("what is known of endpoints that are gone is forgotten")
+@then("the state of removed endpoints is dropped")
 def gone_forgotten(context):
     fail_at(context.plan, START_MS + 9 * EJECTION_MS)
     context.plan.full_until_ms["d0"] = START_MS + 99 * EJECTION_MS
@@ -59,7 +59,7 @@
     assert first_choice(context.plan, "g", START_MS + 9 * EJECTION_MS + 1) == "d0"
 
 
-@then("a reader that takes long gets fewer prompts")
+@then("a slow prefiller gets fewer prompts")
 def slow_reader(context):
     reading = PrefillPlan({"quick": "z", "slow": "z"})
     for _ in range(9):
@@ -72,7 +72,7 @@
     assert given_to.count("quick") == 4, given_to
 
 
-@then("prompts without tokens leave its pace as it is")
+@then("prompts without tokens do not change the estimated pace")
 def empty_prompts(context):
     pace = PrefillPace()
     for _ in range(5000):
@@ -86,7 +86,7 @@
     return messages.MemoryReport(f"n-{instance}", "s", (run,))
 
 
-@given("a plan whose runs made more than was likely")
+@given("a plan with a run that exceeds its expected length")
 def made_more(context):
     context.plan = warm_plan()
     for instance, made_tokens in (("d0", 40_000), ("d1", 1000)):
@@ -94,7 +94,7 @@
         assert core.step(context.plan, report_of_run, {"d0": "z", "d1": "z"}, START_MS) == []
 
 
-@then("their endpoint has less room than one whose runs made little")
+@then("its endpoint has less room than one with a short run")
 def less_room(context):
     decoders = {"d0": "z", "d1": "z"}
     grants = granted(core.step(context.plan, ask("a"), decoders, START_MS + 1))
@@ -103,7 +103,7 @@
     assert only == [], "its run made 40,000 tokens where 2,000 were likely"
 
 
-@then("an endpoint whose run came to a halt gets nothing for a while")
+@then("an endpoint with a stalled run gets no grant for a while")
 def halted(context):
     plan, decoders = warm_plan(), {"d0": "z", "d1": "z"}
     core.step(plan, run_report("d0", 500, quiet_ms=STALLED_RUN_MS), decoders, START_MS)
@@ -113,7 +113,7 @@
     assert plan.ejections.take_new() == [("d0", EJECTION_MS)]
 
 
-@given("a plan that granted a place where there was no room")
+@given("a plan with a grant on an endpoint that had no room")
 def no_room(context):
     plan = context.plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
@@ -124,7 +124,7 @@
     assert granted(again) == []
 
 
-@then("the endpoint is asked for no other place until one of its runs ends")
+@then("the endpoint gets no grant until one of its runs ends")
 def until_one_ends(context):
     plan = context.plan
     assert granted(core.step(plan, ask("b"), {"d0": "z"}, START_MS + 6)) == []
@@ -133,7 +133,7 @@
     assert [grant.request_id for grant in grants] == ["b"]
 
 
-@then("the reader is not taken for busy with the prompt")
+@then("the prompt does not count in the prefill backlog")
 def not_busy(context):
     context.plan.runs.clear()
     one_prompt_ms = context.plan.prefill.prefill_ms("p0", 5000)
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -71,7 +71,7 @@
     return Member(address, directory, kernel, client, planner)
 
 
-@when("a node asks a planner that is gone")
+@when("a node sends a request to a planner that is gone")
 def planner_gone(context):
     async def main():
         async with anyio.create_task_group() as tasks:
@@ -90,13 +90,13 @@
     anyio.run(main)
 
 
-@then("it goes on without within a tenth of a second, and passes that planner over")
+@then("it goes on without it within a tenth of a second, and avoids that planner")
 def goes_on_without(context):
     assert context.answer is None and PLANNER_SILENT_MS - 5 <= context.took_ms < 100
     assert context.second is None and context.second_ms < 20, context.second_ms
 
 
-@when("the first ask reaches a planner that has just started with the other nodes")
+@when("the first request reaches a planner that has just started with the other nodes")
 def first_ask_of_all(context):
     async def main():
         async with anyio.create_task_group() as tasks:
@@ -113,13 +113,13 @@
     anyio.run(main)
 
 
-@then("it grants at once, as each node has told that nothing runs")
+@then("it grants at once, as each node has reported no runs")
 def grants_at_once(context):
     assert isinstance(context.answer, messages.MemoryGrant), context.answer
     assert len(context.plan.nodes) == 2 and context.took_ms < WARM_UP_MS / 3, context.took_ms
 
 
-@then("a node that has just started passes a silent planner over for a moment only")
+@then("a node that has just started avoids a silent planner for a moment only")
 def moment_only(context):
     choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=YOUNG_MS)
     first = choice.choose("s", 0)
@@ -129,12 +129,12 @@
     assert choice.avoid(first, YOUNG_MS) == NODE_AVOID_MS
 
 
-@given("two nodes of which one plans")
+@given("two nodes, one of which is the planner")
 def two_members(context):
     context.granted = []
 
 
-@when("the other one asks for more than fits")
+@when("the other node requests more memory than fits")
 def asks_for_more(context):
     async def ask_one(member, request_id):
         request = ask(
@@ -169,7 +169,7 @@
     anyio.run(main)
 
 
-@then("it is granted what fits, waits for the rest, and gets it after a release")
+@then("it is granted what fits, and the rest after a release")
 def granted_after(context):
     grant = messages.MemoryGrant
     assert context.before == [("a", grant), ("b", grant)], context.before
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -70,7 +70,7 @@
 SIZES = st.lists(st.tuples(st.integers(1, 40), st.integers(0, 30)), min_size=1, max_size=7)
 
 
-@then("for any runs the foreseen peak is that of a token by token play")
+@then("for any runs the forecast peak is that of a token-by-token simulation")
 def same_peak(context):
     @forall(SIZES)
     def check(sizes):
@@ -94,7 +94,7 @@
 )
 
 
-@then("whatever is asked, released and reported, foreseen peaks leave the margin free")
+@then("for any requests, releases and ticks, forecast peaks leave the margin free")
 def within_share(context):
     @forall(MOVES)
     def check(moves):
@@ -123,7 +123,7 @@
     check()
 
 
-@then("a small memory keeps room for as many answers beyond the plan as a large one")
+@then("the margin holds the same number of answers for a small memory as for a large one")
 def same_margin(context):
     for capacity in (60_000, 200_000):
         plan = core.PlanState(0, capacity, SLOTS, mean_answer_tokens=4000.0)
@@ -146,7 +146,7 @@
     return core.step(plan, messages.MemoryRelease("full0", "s"), {"d0": "z"}, now_ms)
 
 
-@then("one who returned takes its turn with those who come first, by the time that each has left")
+@then("a retry is ordered among first attempts by its deadline")
 def returned_in_turn(context):
     for returned_ms, first_ms, expected in ((500, 800, "returned"), (800, 500, "first")):
         plan = warm_plan()
@@ -160,7 +160,7 @@
         assert [grant.request_id for grant in grants] == [expected], grants
 
 
-@then("a late one does not pass one who can be in time")
+@then("a late request is not granted before an in-time one")
 def late_behind(context):
     plan = context.plan
     core.step(plan, ask("late", returned=True, in_time_ms=-500), {"d0": "z"}, START_MS + 1)
@@ -168,7 +168,7 @@
     assert [grant.request_id for grant in granted(free_one(plan, START_MS + 3))] == ["in-time"]
 
 
-@then("one whose turn is not foreseen in time is told to return, later ones later")
+@then("requests forecast too late are rejected, with ever longer retry delays")
 def told_to_return(context):
     plan = context.plan
     for index in range(4):
@@ -181,7 +181,7 @@
     assert times[0] >= RETRY_AFTER_LEAST_MS
 
 
-@then("one who returned is kept waiting")
+@then("a late retry is not rejected")
 def kept_waiting(context):
     plan = context.plan
     for after_ms in (200, 900, 1500):
@@ -189,13 +189,13 @@
     assert "late" in plan.waiters
 
 
-@given("a plan with free memory and a single reader")
+@given("a plan with free memory and a single prefiller")
 def single_reader(context):
     context.plan = warm_plan()
     context.plan.prefill.prefillers = {"p0": "z"}
 
 
-@then("one who fits is not refused while its reading is foreseen in time")
+@then("a request that fits is not rejected while its prefill is forecast in time")
 def not_refused(context):
     plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
@@ -206,7 +206,7 @@
     assert waiting and not refused(replies), replies
 
 
-@then("one whom only endpoints short of memory could read for in time is told to return")
+@then("a request is rejected if only endpoints short of memory could prefill it in time")
 def not_read_in_time(context):
     plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
@@ -218,7 +218,7 @@
     assert [refusal.request_id for refusal in refused(replies)] == ["a"], replies
 
 
-@then("places are granted as fast as prompts are read, the most pressing first")
+@then("memory is granted at the rate of prefill, the earliest deadline first")
 def as_fast_as_read(context):
     plan, names = context.plan, []
     for index in range(6):
@@ -232,7 +232,7 @@
     assert [grant.request_id for grant in names[early:]][0] == "r5", names
 
 
-@then("an endpoint whose slots are taken gets nothing, however much memory is free")
+@then("an endpoint without a free slot gets no grant, however much memory is free")
 def slots_count(context):
     plan = warm_plan()
     plan.slots = 2
@@ -242,13 +242,13 @@
     assert len(granted(replies)) == 2 and list(plan.waiters) == ["r2"]
 
 
-@given("a plan with two readers in different zones")
+@given("a plan with two prefillers in different zones")
 def two_readers(context):
     context.plan = warm_plan()
     context.plan.prefill.prefillers = {"far": "y", "near": "z"}
 
 
-@then("prompts go to the nearer one first, then to the one that is free first")
+@then("prompts go to the prefiller in the same zone first, then to the one that is free first")
 def near_first(context):
     readers = []
     for index in range(4):
@@ -257,7 +257,7 @@
     assert readers == ["near", "far", "near", "far"], readers
 
 
-@then("without readers each decode endpoint reads one prompt at a time")
+@then("without prefillers each decode endpoint prefills one prompt at a time")
 def one_at_a_time(context):
     plan = warm_plan()
     plan.prefill.prefillers = {}
@@ -275,7 +275,7 @@
     assert len(granted(core.step(plan, core.Tick(), decoders, later_ms))) == 2
 
 
-@then("while readers are busy a decode endpoint reads by itself only if much of its memory is free")
+@then("local prefill is used while prefillers are busy, on endpoints with much free memory only")
 def reads_with_free_memory(context):
     for taken_share, grants in ((0.4, 1), (LOCAL_PREFILL_MEMORY_SHARE, 0)):
         plan = warm_plan()
@@ -286,7 +286,7 @@
         assert [grant.reader for grant in got] == ["d0"] * grants, (taken_share, got)
 
 
-@then("an endpoint that failed a request gets nothing for a while")
+@then("an endpoint that failed a request gets no grant for a while")
 def shunned(context):
     plan = warm_plan()
     failed = ask("a", avoid=("d0",), broken=("d0",))
@@ -297,7 +297,7 @@
     assert later[0].instance == "d0"
 
 
-@given("a plan with many endpoints that are all full, and many who wait")
+@given("a plan with many full endpoints and many waiters")
 def many_full(context):
     plan = context.plan = warm_plan()
     context.decoders = {f"d{index}": "z" for index in range(14)}
@@ -320,7 +320,7 @@
     return foresee.call_count
 
 
-@then("a tick looks at each endpoint a few times at most, and a report at none")
+@then("a tick computes a few peaks for each endpoint at most, and a report none")
 def few_looks(context):
     plan, decoders = context.plan, context.decoders
     assert looks_at(plan, report("n1", "full0"), decoders, START_MS + 1) == 0
@@ -328,7 +328,7 @@
     assert looks_at(plan, core.Tick(), decoders, deciding_ms) <= 3 * len(decoders)
 
 
-@given("a planner that is asked for the first time")
+@given("a planner that receives its first request")
 def first_ask(context):
     context.plan = core.PlanState(
         began_ms=START_MS, capacity_tokens=CAPACITY, slots=SLOTS, last_event_ms=START_MS
@@ -340,7 +340,7 @@
     return type(replies[0].message)
 
 
-@then("it sends the asker to the endpoints until it has heard the reports")
+@then("it answers that requests go on without it until the warm-up is over")
 def sends_on(context):
     assert answer_to(context.plan, "a", START_MS) is messages.MemoryDirect
     assert answer_to(context.plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryDirect
@@ -351,7 +351,7 @@
     return [r.message.request_id for r in replies if isinstance(r.message, messages.MemoryGrant)]
 
 
-@then("not any more once each node has told what runs there, be it nothing")
+@then("it plans as soon as each node has reported, with or without runs")
 def each_has_told(context):
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     first, second, waits = core.step(plan, ask("a"), {"d0": "z"}, START_MS)
@@ -367,7 +367,7 @@
     assert answer_to(plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryGrant
 
 
-@then("who waited for a node that is gone is sent on in a moment")
+@then("requests that wait for the report of a lost node go on without the planner soon")
 def sent_on(context):
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     core.step(plan, ask("a"), {"d0": "z"}, START_MS)
@@ -378,7 +378,7 @@
     assert answer_to(plan, "b", START_MS + REPORTS_WAIT_MS) is messages.MemoryDirect
 
 
-@then("after it stood still it does so again")
+@then("after a suspension it warms up again")
 def stood_still(context):
     later_ms = START_MS + WARM_UP_MS + REPORT_LAPSE_MS + 1
     assert answer_to(context.plan, "d", later_ms) is messages.MemoryDirect
@@ -389,7 +389,7 @@
     return messages.MemoryReport(node, "s", (run,))
 
 
-@given("a second planner that heard the reports of many short runs")
+@given("a standby planner with the reports of many short runs")
 def short_runs(context):
     """Of runs that end within a quarter of a second, each report lists others."""
     context.plan = plan = warm_plan()
@@ -398,12 +398,12 @@
         core.step(plan, report("n1", f"short{number}"), {"d0": "z"}, context.now_ms)
 
 
-@then("it counts those of the newest report alone")
+@then("it counts the runs of the latest report only")
 def newest_alone(context):
     assert list(context.plan.runs) == ["short3"], context.plan.runs
 
 
-@then("a grant that a report crossed on its way is counted on")
+@then("a grant that is newer than a report still counts")
 def crossed(context):
     decoders, now_ms = {"d0": "z"}, context.now_ms
     assert granted(core.step(context.plan, ask("crossed"), decoders, now_ms))
@@ -414,7 +414,7 @@
     assert set(context.plan.runs) == {"short5"}, "its end was told by the report, if not heard"
 
 
-@given("a plan with runs of two nodes of which one reports no more")
+@given("a plan with runs of two nodes, of which one no longer reports")
 def two_nodes(context):
     plan = context.plan = warm_plan()
     core.step(plan, report("n1", "a"), {"d0": "z"}, START_MS)
@@ -423,6 +423,6 @@
         core.step(plan, core.Tick(), {"d0": "z"}, now_ms)
 
 
-@then("only the runs of the other one remain")
+@then("only the runs of the other node remain")
 def only_other(context):
     assert list(context.plan.runs) == ["b"], context.plan.runs
