--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -3,7 +3,7 @@
 import anyio
 import attrs
 from behave import given, then, when
-from memory_steps import CAPACITY, MANY_READERS, TWO_FIT, ask
+from memory_steps import CAPACITY, MANY_PREFILLERS, TWO_FIT, ask
 
 from saffronworks.bundles import Role
 from saffronworks.clocks import monotonic_ms
@@ -46,7 +46,7 @@
     decoder = ServiceEndpoint("d0", "s", "127.0.0.1:1", "z", role=Role.DECODE)
     readers = [
         ServiceEndpoint(f"p{index}", "s", "127.0.0.1:2", "z", role=Role.PREFILL)
-        for index in range(MANY_READERS)
+        for index in range(MANY_PREFILLERS)
     ]
     directory.replace([decoder, *readers], at(1), now_ms=0)
     spec = EngineSpec(64, CAPACITY, 64, 2000)
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -29,7 +29,7 @@
 CAPACITY = 90_000
 START_MS = 10_000
 SLOTS = 64
-MANY_READERS = 200
+MANY_PREFILLERS = 200
 # A prompt of which two fit into an endpoint's planned memory, and no third.
 TWO_FIT = int(0.34 * CAPACITY)
 
@@ -55,7 +55,7 @@
         capacity_tokens=CAPACITY,
         slots=SLOTS,
         last_event_ms=START_MS,
-        prefill=PrefillPlan({f"p{index}": "z" for index in range(MANY_READERS)}),
+        prefill=PrefillPlan({f"p{index}": "z" for index in range(MANY_PREFILLERS)}),
     )
 
 
