--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -63,7 +63,7 @@
     return [r.message for r in replies if isinstance(r.message, messages.MemoryGrant)]
 
 
-def refused(replies):
+def rejected(replies):
     return [r.message for r in replies if isinstance(r.message, messages.MemoryRefusal)]
 
 
@@ -176,7 +176,7 @@
             plan, ask(f"new{index}", in_time_ms=FIRST_REJECTION_MS), {"d0": "z"}, START_MS + 10
         )
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + FIRST_REJECTION_MS)
-    times = [refusal.retry_after_ms for refusal in refused(replies)]
+    times = [refusal.retry_after_ms for refusal in rejected(replies)]
     assert len(times) == 4 and times == sorted(times), times
     assert times[0] >= RETRY_AFTER_LEAST_MS
 
@@ -185,7 +185,7 @@
 def kept_waiting(context):
     plan = context.plan
     for after_ms in (200, 900, 1500):
-        assert not refused(core.step(plan, core.Tick(), {"d0": "z"}, START_MS + after_ms))
+        assert not rejected(core.step(plan, core.Tick(), {"d0": "z"}, START_MS + after_ms))
     assert "late" in plan.waiters
 
 
@@ -203,7 +203,7 @@
         core.step(plan, ask(f"r{index}"), {"d0": "z"}, START_MS)
     waiting = set(plan.waiters)
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + FIRST_REJECTION_MS)
-    assert waiting and not refused(replies), replies
+    assert waiting and not rejected(replies), replies
 
 
 @then("a request is rejected if only endpoints short of memory could prefill it in time")
@@ -215,7 +215,7 @@
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
     core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS)
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + FIRST_REJECTION_MS)
-    assert [refusal.request_id for refusal in refused(replies)] == ["a"], replies
+    assert [refusal.request_id for refusal in rejected(replies)] == ["a"], replies
 
 
 @then("memory is granted at the rate of prefill, the earliest deadline first")
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import given as forall
 from hypothesis import settings
 from hypothesis import strategies as st
-from memory_steps import START_MS, ask, granted, refused, warm_plan
+from memory_steps import START_MS, ask, granted, rejected, warm_plan
 
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.figures import Figures
@@ -219,7 +219,7 @@
 
 
 def told(plan, now_ms):
-    return [refusal.request_id for refusal in refused(core.step(plan, core.Tick(), D0, now_ms))]
+    return [refusal.request_id for refusal in rejected(core.step(plan, core.Tick(), D0, now_ms))]
 
 
 @given("a full plan that hears several priorities")
@@ -271,10 +271,10 @@
     for index in range(20):
         bulk = ask(f"bulk{index}", priority=BULK, in_time_ms=0, patience_ms=60_000)
         core.step(plan, bulk, D0, START_MS)
-    before = refused(core.step(plan, core.Tick(), D0, START_MS + FIRST_REJECTION_MS))
+    before = rejected(core.step(plan, core.Tick(), D0, START_MS + FIRST_REJECTION_MS))
     late = ask("urgent", priority=URGENT, in_time_ms=-1, patience_ms=60_000)
     core.step(plan, late, D0, START_MS + FIRST_REJECTION_MS)
-    (urgent,) = refused(core.step(plan, core.Tick(), D0, START_MS + 2 * FIRST_REJECTION_MS))
+    (urgent,) = rejected(core.step(plan, core.Tick(), D0, START_MS + 2 * FIRST_REJECTION_MS))
     assert len(before) == 20
     assert urgent.retry_after_ms < max(refusal.retry_after_ms for refusal in before)
 
