--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the planner of decode memory, its core and both of its services."""
+"""Scenarios on the core of the planner of decode memory."""
 
 from unittest.mock import Mock, patch
 
@@ -30,7 +30,7 @@
 START_MS = 10_000
 SLOTS = 64
 MANY_PREFILLERS = 200
-# A prompt of which two fit into an endpoint's planned memory, and no third.
+# The size of a prompt of which two fit into an endpoint's planned memory, but not three.
 TWO_FIT = int(0.34 * CAPACITY)
 
 
@@ -71,15 +71,15 @@
 
 
 @then("for any runs the forecast peak is that of a token-by-token simulation")
-def same_peak(context):
+def peak_of_simulation(context):
     @forall(SIZES)
     def check(sizes):
         peak = 0
         for tick in range(32):
             alive = [now + tick for now, more in sizes if tick <= more]
             peak = max(peak, sum(alive))
-        foreseen = runs.projected_peak([(float(now), float(more)) for now, more in sizes])
-        assert foreseen == peak, (foreseen, peak)
+        forecast = runs.projected_peak([(float(now), float(more)) for now, more in sizes])
+        assert forecast == peak, (forecast, peak)
 
     check()
 
@@ -95,7 +95,7 @@
 
 
 @then("for any requests, releases and ticks, forecast peaks leave the margin free")
-def within_share(context):
+def peaks_within_margin(context):
     @forall(MOVES)
     def check(moves):
         plan, now_ms, last = warm_plan(), START_MS, 0
@@ -147,21 +147,21 @@
 
 
 @then("a retry is ordered among first attempts by its deadline")
-def returned_in_turn(context):
+def retry_by_deadline(context):
     for returned_ms, first_ms, expected in ((500, 800, "returned"), (800, 500, "first")):
         plan = warm_plan()
         for index in range(40):
             core.step(plan, ask(f"full{index}", returned=True), {"d0": "z"}, START_MS)
         plan.waiters.clear()
-        back = ask("returned", returned=True, in_time_ms=returned_ms)
-        core.step(plan, back, {"d0": "z"}, START_MS + 1)
+        retry = ask("returned", returned=True, in_time_ms=returned_ms)
+        core.step(plan, retry, {"d0": "z"}, START_MS + 1)
         core.step(plan, ask("first", in_time_ms=first_ms), {"d0": "z"}, START_MS + 2)
         grants = granted(free_one(plan, START_MS + 3))
         assert [grant.request_id for grant in grants] == [expected], grants
 
 
 @then("a late request is not granted before an in-time one")
-def late_behind(context):
+def late_after_in_time(context):
     plan = context.plan
     core.step(plan, ask("late", returned=True, in_time_ms=-500), {"d0": "z"}, START_MS + 1)
     core.step(plan, ask("in-time"), {"d0": "z"}, START_MS + 2)
@@ -169,7 +169,7 @@
 
 
 @then("requests forecast too late are rejected, with ever longer retry delays")
-def told_to_return(context):
+def rejected_with_delays(context):
     plan = context.plan
     for index in range(4):
         core.step(
@@ -182,7 +182,7 @@
 
 
 @then("a late retry is not rejected")
-def kept_waiting(context):
+def retry_not_rejected(context):
     plan = context.plan
     for after_ms in (200, 900, 1500):
         assert not rejected(core.step(plan, core.Tick(), {"d0": "z"}, START_MS + after_ms))
@@ -190,13 +190,13 @@
 
 
 @given("a plan with free memory and a single prefiller")
-def single_reader(context):
+def single_prefiller(context):
     context.plan = warm_plan()
     context.plan.prefill.prefillers = {"p0": "z"}
 
 
 @then("a request that fits is not rejected while its prefill is forecast in time")
-def not_refused(context):
+def not_rejected(context):
     plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
     for index in range(5):
@@ -207,7 +207,7 @@
 
 
 @then("a request is rejected if only endpoints short of memory could prefill it in time")
-def not_read_in_time(context):
+def no_prefill_in_time(context):
     plan = warm_plan()
     plan.prefill.prefillers = {"p0": "z"}
     plan.prefill.add("busy", "p0", 100_000, START_MS)
@@ -219,21 +219,21 @@
 
 
 @then("memory is granted at the rate of prefill, the earliest deadline first")
-def as_fast_as_read(context):
-    plan, names = context.plan, []
+def granted_at_prefill_rate(context):
+    plan, grants = context.plan, []
     for index in range(6):
-        names += granted(
+        grants += granted(
             core.step(plan, ask(f"r{index}", in_time_ms=900 - index), {"d0": "z"}, START_MS)
         )
-    early = len(names)
-    assert 1 < early < 6, names
+    first_count = len(grants)
+    assert 1 < first_count < 6, grants
     now_ms = START_MS + int(2 * 5000 * PREFILL_MS_PER_TOKEN)
-    names += granted(core.step(plan, core.Tick(), {"d0": "z"}, now_ms))
-    assert [grant.request_id for grant in names[early:]][0] == "r5", names
+    grants += granted(core.step(plan, core.Tick(), {"d0": "z"}, now_ms))
+    assert [grant.request_id for grant in grants[first_count:]][0] == "r5", grants
 
 
 @then("an endpoint without a free slot gets no grant, however much memory is free")
-def slots_count(context):
+def slots_are_limited(context):
     plan = warm_plan()
     plan.slots = 2
     replies = []
@@ -243,13 +243,13 @@
 
 
 @given("a plan with two prefillers in different zones")
-def two_readers(context):
+def two_prefillers(context):
     context.plan = warm_plan()
     context.plan.prefill.prefillers = {"far": "y", "near": "z"}
 
 
 @then("prompts go to the prefiller in the same zone first, then to the one that is free first")
-def near_first(context):
+def same_zone_first(context):
     readers = []
     for index in range(4):
         replies = core.step(context.plan, ask(f"r{index}"), {"d0": "z"}, START_MS)
@@ -258,15 +258,15 @@
 
 
 @then("without prefillers each decode endpoint prefills one prompt at a time")
-def one_at_a_time(context):
+def one_prefill_at_a_time(context):
     plan = warm_plan()
     plan.prefill.prefillers = {}
     decoders = {"d0": "z", "d1": "z"}
-    names = []
+    grants = []
     for index in range(4):
-        names += granted(core.step(plan, ask(f"r{index}"), decoders, START_MS))
-    assert sorted(grant.instance for grant in names) == ["d0", "d1"], names
-    assert all(grant.reader == grant.instance for grant in names)
+        grants += granted(core.step(plan, ask(f"r{index}"), decoders, START_MS))
+    assert sorted(grant.instance for grant in grants) == ["d0", "d1"], grants
+    assert all(grant.reader == grant.instance for grant in grants)
     later_ms = (
         START_MS
         + int(LOCAL_PREFILL_FACTOR * PREFILL_MS_PER_TOKEN * 5000 + LOCAL_PREFILL_GAP_MS)
@@ -276,7 +276,7 @@
 
 
 @then("local prefill is used while prefillers are busy, on endpoints with much free memory only")
-def reads_with_free_memory(context):
+def local_prefill_with_free_memory(context):
     for taken_share, grants in ((0.4, 1), (LOCAL_PREFILL_MEMORY_SHARE, 0)):
         plan = warm_plan()
         plan.prefill.prefillers = {"p0": "z"}
@@ -287,7 +287,7 @@
 
 
 @then("an endpoint that failed a request gets no grant for a while")
-def shunned(context):
+def ejected(context):
     plan = warm_plan()
     failed = ask("a", avoid=("d0",), broken=("d0",))
     first = granted(core.step(plan, failed, {"d0": "z", "d1": "z"}, START_MS))
@@ -298,7 +298,7 @@
 
 
 @given("a plan with many full endpoints and many waiters")
-def many_full(context):
+def many_full_endpoints(context):
     plan = context.plan = warm_plan()
     context.decoders = {f"d{index}": "z" for index in range(14)}
     for index in range(14 * 7):
@@ -309,27 +309,27 @@
     assert len(plan.waiters) == 40
 
 
-def looks_at(plan, event, decoders, now_ms):
-    """How many peaks a step foresees."""
-    foresee = Mock(wraps=runs.projected_peak)
+def count_peaks(plan, event, decoders, now_ms):
+    """Return how many peaks a step computes."""
+    compute_peaks = Mock(wraps=runs.projected_peak)
     with (
-        patch.object(plans, "projected_peak", foresee),
-        patch.object(runs, "projected_peak", foresee),
+        patch.object(plans, "projected_peak", compute_peaks),
+        patch.object(runs, "projected_peak", compute_peaks),
     ):
         core.step(plan, event, decoders, now_ms)
-    return foresee.call_count
+    return compute_peaks.call_count
 
 
 @then("a tick computes a few peaks for each endpoint at most, and a report none")
-def few_looks(context):
+def few_peaks(context):
     plan, decoders = context.plan, context.decoders
-    assert looks_at(plan, report("n1", "full0"), decoders, START_MS + 1) == 0
+    assert count_peaks(plan, report("n1", "full0"), decoders, START_MS + 1) == 0
     deciding_ms = START_MS + FIRST_REJECTION_MS
-    assert looks_at(plan, core.Tick(), decoders, deciding_ms) <= 3 * len(decoders)
+    assert count_peaks(plan, core.Tick(), decoders, deciding_ms) <= 3 * len(decoders)
 
 
 @given("a planner that receives its first request")
-def first_ask(context):
+def first_request(context):
     context.plan = core.PlanState(
         began_ms=START_MS, capacity_tokens=CAPACITY, slots=SLOTS, last_event_ms=START_MS
     )
@@ -341,7 +341,7 @@
 
 
 @then("it answers that requests go on without it until the warm-up is over")
-def sends_on(context):
+def goes_on_without_plan(context):
     assert answer_to(context.plan, "a", START_MS) is messages.MemoryDirect
     assert answer_to(context.plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryDirect
     assert answer_to(context.plan, "c", START_MS + WARM_UP_MS) is messages.MemoryGrant
@@ -352,7 +352,7 @@
 
 
 @then("it plans as soon as each node has reported, with or without runs")
-def each_has_told(context):
+def all_have_reported(context):
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     first, second, waits = core.step(plan, ask("a"), {"d0": "z"}, START_MS)
     wanted = messages.ReportWanted("s", "n1:1")
@@ -362,24 +362,24 @@
     core.step(plan, messages.MemoryReport("n1:1", "s", ()), {"d0": "z"}, START_MS + 1)
     core.step(plan, messages.MemoryReport("n2:1", "s", ()), {"d0": "z"}, START_MS + 2)
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 3)
-    assert granted_in(replies) == ["a"], "who waited is served once all have told"
+    assert granted_in(replies) == ["a"], "a waiter is granted once all nodes have reported"
     core.step(plan, messages.MemoryRelease("a", "s"), {"d0": "z"}, START_MS + 4)
     assert answer_to(plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryGrant
 
 
 @then("requests that wait for the report of a lost node go on without the planner soon")
-def sent_on(context):
+def lost_node(context):
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     core.step(plan, ask("a"), {"d0": "z"}, START_MS)
     core.step(plan, messages.MemoryReport("n1:1", "s", ()), {"d0": "z"}, START_MS + 1)
     assert not core.step(plan, core.Tick(), {"d0": "z"}, START_MS + REPORTS_WAIT_MS - 1)
-    (sent_on,) = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + REPORTS_WAIT_MS)
-    assert sent_on.message == messages.MemoryDirect("a") and not plan.waiters
+    (reply,) = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + REPORTS_WAIT_MS)
+    assert reply.message == messages.MemoryDirect("a") and not plan.waiters
     assert answer_to(plan, "b", START_MS + REPORTS_WAIT_MS) is messages.MemoryDirect
 
 
 @then("after a suspension it warms up again")
-def stood_still(context):
+def suspended(context):
     later_ms = START_MS + WARM_UP_MS + REPORT_LAPSE_MS + 1
     assert answer_to(context.plan, "d", later_ms) is messages.MemoryDirect
 
@@ -391,7 +391,7 @@
 
 @given("a standby planner with the reports of many short runs")
 def short_runs(context):
-    """Of runs that end within a quarter of a second, each report lists others."""
+    """Runs end within a quarter of a second, so each report lists other ones."""
     context.plan = plan = warm_plan()
     for number in range(4):
         context.now_ms = START_MS + number * REPORT_EVERY_MS
@@ -399,19 +399,19 @@
 
 
 @then("it counts the runs of the latest report only")
-def newest_alone(context):
+def latest_report_only(context):
     assert list(context.plan.runs) == ["short3"], context.plan.runs
 
 
 @then("a grant that is newer than a report still counts")
-def crossed(context):
+def newer_than_report(context):
     decoders, now_ms = {"d0": "z"}, context.now_ms
-    assert granted(core.step(context.plan, ask("crossed"), decoders, now_ms))
+    assert granted(core.step(context.plan, ask("newer"), decoders, now_ms))
     core.step(context.plan, report("n1", "short4"), decoders, now_ms + 1)
-    assert set(context.plan.runs) == {"crossed", "short4"}, context.plan.runs
-    core.step(context.plan, report("n1", "crossed"), decoders, now_ms + REPORT_EVERY_MS)
+    assert set(context.plan.runs) == {"newer", "short4"}, context.plan.runs
+    core.step(context.plan, report("n1", "newer"), decoders, now_ms + REPORT_EVERY_MS)
     core.step(context.plan, report("n1", "short5"), decoders, now_ms + 2 * REPORT_EVERY_MS)
-    assert set(context.plan.runs) == {"short5"}, "its end was told by the report, if not heard"
+    assert set(context.plan.runs) == {"short5"}, "the report without the run ends it"
 
 
 @given("a plan with runs of two nodes, of which one no longer reports")
