--- a/saffronworks/tests/features/steps/learning_steps.py
+++ b/saffronworks/tests/features/steps/learning_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what the planner learns: failures, full endpoints, slow readers, progress."""
+"""Scenarios on the planner's estimates: failures, full endpoints, prefill pace, progress."""
 
 import attrs
 from behave import given, then
@@ -15,7 +15,7 @@
 
 
 @given("a plan with a node's report that an endpoint failed its request")
-def hears_failure(context):
+def failure_reported(context):
     context.plan = warm_plan()
     fail_at(context.plan, START_MS)
 
@@ -27,7 +27,7 @@
 
 
 def first_choice(plan, request_id, now_ms, decoders=("d0", "d1")):
-    """Where a request goes that finds no other run."""
+    """Return the endpoint that a request gets while there are no other runs."""
     plan.runs.clear()
     plan.last_event_ms = now_ms
     grants = granted(core.step(plan, ask(request_id), dict.fromkeys(decoders, "z"), now_ms))
@@ -35,7 +35,7 @@
 
 
 @then("requests of other nodes avoid the endpoint for a while, unless there is no other")
-def elsewhere(context):
+def avoids_endpoint(context):
     plan = context.plan
     assert first_choice(plan, "b", START_MS + 1) == "d1"
     assert first_choice(plan, "c", START_MS + 2, decoders=("d0",)) == "d0"
@@ -43,7 +43,7 @@
 
 
 @then("when it fails again right after that, it is ejected for twice as long")
-def twice_as_long(context):
+def ejected_twice_as_long(context):
     plan, again_ms = context.plan, START_MS + EJECTION_MS + 1
     fail_at(plan, again_ms)
     fail_at(plan, again_ms + 1)
@@ -52,7 +52,7 @@
 
 
 @then("the state of removed endpoints is dropped")
-def gone_forgotten(context):
+def removed_endpoint_dropped(context):
     fail_at(context.plan, START_MS + 9 * EJECTION_MS)
     context.plan.full_until_ms["d0"] = START_MS + 99 * EJECTION_MS
     context.plan.forget_all_but({"d1"})
@@ -60,20 +60,20 @@
 
 
 @then("a slow prefiller gets fewer prompts")
-def slow_reader(context):
-    reading = PrefillPlan({"quick": "z", "slow": "z"})
+def slow_prefiller(context):
+    plan = PrefillPlan({"quick": "z", "slow": "z"})
     for _ in range(9):
-        reading.pace.learn("slow", 5000, 400)
-        reading.pace.learn("quick", 5000, 100)
-    given_to = []
+        plan.pace.learn("slow", 5000, 400)
+        plan.pace.learn("quick", 5000, 100)
+    chosen = []
     for index in range(5):
-        given_to.append(reading.choose("z", 2000, START_MS))
-        reading.add(f"r{index}", given_to[-1], 2000, START_MS)
-    assert given_to.count("quick") == 4, given_to
+        chosen.append(plan.choose("z", 2000, START_MS))
+        plan.add(f"r{index}", chosen[-1], 2000, START_MS)
+    assert chosen.count("quick") == 4, chosen
 
 
 @then("prompts without tokens do not change the estimated pace")
-def empty_prompts(context):
+def prompts_without_tokens(context):
     pace = PrefillPace()
     for _ in range(5000):
         pace.learn("p0", 0, 20)
@@ -87,7 +87,7 @@
 
 
 @given("a plan with a run that exceeds its expected length")
-def made_more(context):
+def longer_than_expected(context):
     context.plan = warm_plan()
     for instance, made_tokens in (("d0", 40_000), ("d1", 1000)):
         report_of_run = run_report(instance, made_tokens)
@@ -100,11 +100,11 @@
     grants = granted(core.step(context.plan, ask("a"), decoders, START_MS + 1))
     assert [grant.instance for grant in grants] == ["d1"]
     only = granted(core.step(context.plan, ask("b", prompt=25_000), {"d0": "z"}, START_MS + 2))
-    assert only == [], "its run made 40,000 tokens where 2,000 were likely"
+    assert only == [], "its run made 40,000 tokens where 2,000 were expected"
 
 
 @then("an endpoint with a stalled run gets no grant for a while")
-def halted(context):
+def stalled(context):
     plan, decoders = warm_plan(), {"d0": "z", "d1": "z"}
     core.step(plan, run_report("d0", 500, quiet_ms=STALLED_RUN_MS), decoders, START_MS)
     core.step(plan, run_report("d1", 30_000), decoders, START_MS)
@@ -125,7 +125,7 @@
 
 
 @then("the endpoint gets no grant until one of its runs ends")
-def until_one_ends(context):
+def full_until_one_ends(context):
     plan = context.plan
     assert granted(core.step(plan, ask("b"), {"d0": "z"}, START_MS + 6)) == []
     ended = messages.MemoryRelease("old", "s")
@@ -134,7 +134,7 @@
 
 
 @then("the prompt does not count in the prefill backlog")
-def not_busy(context):
+def not_in_backlog(context):
     context.plan.runs.clear()
     one_prompt_ms = context.plan.prefill.prefill_ms("p0", 5000)
     assert context.plan.prefill.backlog_ms("p0", START_MS + 7) <= one_prompt_ms
