--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -44,11 +44,11 @@
 def make_member(tasks, age_ms=YOUNG_MS):
     address, directory = free_address(), Directory()
     decoder = ServiceEndpoint("d0", "s", "127.0.0.1:1", "z", role=Role.DECODE)
-    readers = [
+    prefillers = [
         ServiceEndpoint(f"p{index}", "s", "127.0.0.1:2", "z", role=Role.PREFILL)
         for index in range(MANY_PREFILLERS)
     ]
-    directory.replace([decoder, *readers], at(1), now_ms=0)
+    directory.replace([decoder, *prefillers], at(1), now_ms=0)
     spec = EngineSpec(64, CAPACITY, 64, 2000)
     table = RoutingTable(1, (), {"s": Service("s", 10, spec)})
     kernel, peers = Kernel(address, monotonic_ms), PeerService(address, Codec(messages))
@@ -72,7 +72,7 @@
 
 
 @when("a node sends a request to a planner that is gone")
-def planner_gone(context):
+def lost_planner(context):
     async def main():
         async with anyio.create_task_group() as tasks:
             member = make_member(tasks)
@@ -91,13 +91,13 @@
 
 
 @then("it goes on without it within a tenth of a second, and avoids that planner")
-def goes_on_without(context):
+def goes_on_without_planner(context):
     assert context.answer is None and PLANNER_SILENT_MS - 5 <= context.took_ms < 100
     assert context.second is None and context.second_ms < 20, context.second_ms
 
 
 @when("the first request reaches a planner that has just started with the other nodes")
-def first_ask_of_all(context):
+def first_request_of_all(context):
     async def main():
         async with anyio.create_task_group() as tasks:
             planner, other = (make_member(tasks, age_ms=0) for _ in range(2))
@@ -114,13 +114,13 @@
 
 
 @then("it grants at once, as each node has reported no runs")
-def grants_at_once(context):
+def granted_without_warm_up(context):
     assert isinstance(context.answer, messages.MemoryGrant), context.answer
     assert len(context.plan.nodes) == 2 and context.took_ms < WARM_UP_MS / 3, context.took_ms
 
 
 @then("a node that has just started avoids a silent planner for a moment only")
-def moment_only(context):
+def avoided_for_a_moment(context):
     choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=YOUNG_MS)
     first = choice.choose("s", 0)
     assert choice.avoid(first, 0) == YOUNG_AVOID_MS
@@ -135,8 +135,8 @@
 
 
 @when("the other node requests more memory than fits")
-def asks_for_more(context):
-    async def ask_one(member, request_id):
+def requests_too_much(context):
+    async def request_one(member, request_id):
         request = ask(
             request_id, prompt=TWO_FIT, likely=1000, reply_to=member.address, returned=True
         )
@@ -157,7 +157,7 @@
                 await anyio.sleep(WARM_UP_MS / 3000)
                 other.client.end(messages.MemoryRelease("warm", "s"))
             for request_id in ("a", "b", "c"):
-                tasks.start_soon(ask_one, other, request_id)
+                tasks.start_soon(request_one, other, request_id)
                 await anyio.sleep(0.05)
             await anyio.sleep(0.4)
             context.before = list(context.granted)
