--- a/saffronworks/tests/features/steps/answer_lengths_steps.py
+++ b/saffronworks/tests/features/steps/answer_lengths_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the lengths of answers against their hints."""
+"""Scenarios on the lengths of answers relative to their hints."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 @then("an answer that has reached its hint is expected to grow by about another half")
-def half_again(context):
+def grows_by_half(context):
     rng, lengths = random.Random(5), AnswerLengths()
     assert 400 < lengths.more_tokens(1000, 1000, 10_000) < 600
     for _ in range(LENGTH_SAMPLES):
@@ -23,7 +23,7 @@
 
 
 @then("after many answers of the hinted length, an answer is expected to end at its hint")
-def hardly_more(context):
+def ends_at_hint(context):
     lengths = AnswerLengths()
     for _ in range(LENGTH_SAMPLES):
         lengths.learn(1000, 1000)
@@ -32,7 +32,7 @@
 
 
 @then("the expected length is the mean of the longer answers")
-def naive_mean(context):
+def mean_of_longer(context):
     @forall(
         st.lists(st.integers(1, 9000), min_size=LENGTH_SAMPLES, max_size=LENGTH_SAMPLES + 40),
         st.integers(0, 9000),
@@ -50,7 +50,7 @@
 
 
 @then("the expected length never exceeds the maximum of the answer")
-def within_most(context):
+def within_maximum(context):
     @forall(
         st.lists(st.tuples(st.integers(0, 5000), st.integers(0, 9000)), max_size=300),
         st.integers(0, 9000),
