--- a/saffronworks/tests/features/steps/class_load_steps.py
+++ b/saffronworks/tests/features/steps/class_load_steps.py
@@ -12,7 +12,7 @@
 )
 
 # Three readers, so that memory binds; four endpoints with twelve runs of 3.4 s each.
-SHAPE = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, readers=3)
+SHAPE = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=3)
 CAPACITY_PER_S = 4 * 12 / 3.4
 LOAD_MS = 12_000
 SEEDS = (1, 2, 3)
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -30,7 +30,7 @@
 
 @given("two readers, as many prompts as they can read, and a third of the words on them lost")
 def words_lost(context):
-    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, readers=2, decoders=9)
+    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=2, decoders=9)
     context.plays = []
     for seed in SEEDS:
         load = PlannerLoad(shape, seed, lost_share=1 / 3)
@@ -48,7 +48,7 @@
 
 @given("engines with room for twelve short answers each, and a third more callers than they bear")
 def more_than_memory(context):
-    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, readers=3)
+    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=3)
     context.plays = play(shape, [(15_000, OVERLOAD_PER_S)])
 
 
@@ -67,7 +67,7 @@
 
 @given("a burst beyond what memory holds, and callers who return when they were told")
 def refused_return(context):
-    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, readers=2)
+    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=2)
     rates = [(6000, 10.0), (10_000, 24.0), (20_000, 10.0)]
     loads = [PlannerLoad(shape, seed, come_back=True) for seed in SEEDS]
     context.plays = [(load, load.run(rates)) for load in loads]
@@ -98,7 +98,7 @@
 
 @given("as many callers, of whom two in five were refused before")
 def many_returned(context):
-    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, readers=3)
+    shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=3)
     context.plays = play(shape, [(15_000, OVERLOAD_PER_S)], returned_share=0.4)
 
 
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -47,7 +47,7 @@
 class EngineShape:
     """What engines can do, and what is asked of them."""
 
-    readers: int
+    prefillers: int
     decoders: int
     capacity_tokens: int
     slots: int
@@ -138,10 +138,10 @@
         self.held_shares: list[tuple[int, float]] = []
         self._rng = random.Random(seed)
         self._decoders = {f"d{index}": "z" for index in range(shape.decoders)}
-        readers = {f"p{index}": "z" for index in range(shape.readers)}
-        self._readers = readers
+        prefillers = {f"p{index}": "z" for index in range(shape.prefillers)}
+        self._readers = prefillers
         self.plan = self._make_plan(0)
-        self._free_at_ms = dict.fromkeys((*readers, *self._decoders), 0.0)
+        self._free_at_ms = dict.fromkeys((*prefillers, *self._decoders), 0.0)
         self._running: dict[str, Outcome] = {}
         self._events: list[tuple[int, int, Callable[[int], None]]] = []
         self._scheduled = 0
