--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -139,7 +139,7 @@
         self._rng = random.Random(seed)
         self._decoders = {f"d{index}": "z" for index in range(shape.decoders)}
         prefillers = {f"p{index}": "z" for index in range(shape.prefillers)}
-        self._readers = prefillers
+        self._prefillers = prefillers
         self.plan = self._make_plan(0)
         self._free_at_ms = dict.fromkeys((*prefillers, *self._decoders), 0.0)
         self._running: dict[str, Outcome] = {}
@@ -152,7 +152,7 @@
             capacity_tokens=self.shape.capacity_tokens,
             slots=self.shape.slots,
             last_event_ms=START_MS + began_ms,
-            prefill=PrefillPlan(self._readers),
+            prefill=PrefillPlan(self._prefillers),
         )
 
     def lose_planner(self, lost_ms: int) -> None:
