--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -40,7 +40,7 @@
 @then("readers go on reading most prompts, and their pace is not taken for slower")
 def most_read(context):
     for load, outcomes in context.plays:
-        read = [o for o in outcomes if o.reader.startswith("p")]
+        read = [o for o in outcomes if o.prefiller.startswith("p")]
         assert len(read) >= 0.8 * len(outcomes), (len(read), len(outcomes))
         pace = load.plan.prefill.pace.ms_per_token
         assert pace <= 1.25 * load.shape.read_ms_per_token, pace
@@ -156,7 +156,7 @@
 @then("decode endpoints read what the reader can't, and more callers are served in time")
 def decoders_read(context):
     for _, outcomes in context.plays:
-        own = [o for o in outcomes if o.instance and o.instance == o.reader]
+        own = [o for o in outcomes if o.instance and o.instance == o.prefiller]
         assert len(own) > 5, len(own)
     with patch.object(plans, "LOCAL_PREFILL_MEMORY_SHARE", 0.0):
         without = play(ENGINES_WITH_LITTLE_MEMORY, BURST)
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -96,7 +96,7 @@
     refused_ms: int | None = None
     holds_failed: int = 0
     instance: str = ""
-    reader: str = ""
+    prefiller: str = ""
 
     def in_time(self, target_ms: int) -> bool:
         """Whether its first event came within the target, at the caller's first attempt."""
@@ -269,8 +269,8 @@
         for reply in core.step(self.plan, event, self._decoders, START_MS + now_ms):
             outcome = self.outcomes[reply.message.request_id]
             match reply.message:
-                case messages.MemoryGrant(request_id, instance, reader):
-                    outcome.instance, outcome.reader = instance, reader or instance
+                case messages.MemoryGrant(request_id, instance, prefiller):
+                    outcome.instance, outcome.prefiller = instance, prefiller or instance
                     self._at(now_ms + CALL_MS, self._hold(request_id))
                 case messages.MemoryRefusal(request_id, retry_after_ms):
                     outcome.refused_ms = now_ms
@@ -287,9 +287,9 @@
                 return
             outcome.granted_ms = now_ms
             self._running[request_id] = outcome
-            begin_ms = max(now_ms + CALL_MS, self._free_at_ms[outcome.reader])
+            begin_ms = max(now_ms + CALL_MS, self._free_at_ms[outcome.prefiller])
             read_ms = outcome.prompt_tokens * self.shape.read_ms_per_token
-            self._free_at_ms[outcome.reader] = begin_ms + read_ms
+            self._free_at_ms[outcome.prefiller] = begin_ms + read_ms
             self._at(begin_ms + read_ms + CALL_MS, self._stream(request_id))
 
         return hold
@@ -309,8 +309,8 @@
         def stream(now_ms: int) -> None:
             outcome = self.outcomes[request_id]
             outcome.first_ms = now_ms + CALL_MS
-            if outcome.reader != outcome.instance and self._losses.random() >= self._lost_share:
-                ended = messages.ReadingEnded(request_id, "s", outcome.reader, whole=True)
+            if outcome.prefiller != outcome.instance and self._losses.random() >= self._lost_share:
+                ended = messages.ReadingEnded(request_id, "s", outcome.prefiller, whole=True)
                 self._tell(ended, now_ms)
             self._decode(request_id, outcome, outcome.first_ms)
 
