--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -43,7 +43,7 @@
         read = [o for o in outcomes if o.prefiller.startswith("p")]
         assert len(read) >= 0.8 * len(outcomes), (len(read), len(outcomes))
         pace = load.plan.prefill.pace.ms_per_token
-        assert pace <= 1.25 * load.shape.read_ms_per_token, pace
+        assert pace <= 1.25 * load.shape.prefill_ms_per_token, pace
 
 
 @given("engines with room for twelve short answers each, and a third more callers than they bear")
@@ -150,7 +150,7 @@
 def pace_learnt(context):
     for load, _ in context.plays:
         pace = load.plan.prefill.pace.ms_per_token
-        assert 0.85 < pace / load.shape.read_ms_per_token < 1.15, pace
+        assert 0.85 < pace / load.shape.prefill_ms_per_token < 1.15, pace
 
 
 @then("decode endpoints read what the reader can't, and more callers are served in time")
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -51,7 +51,7 @@
     decoders: int
     capacity_tokens: int
     slots: int
-    read_ms_per_token: float
+    prefill_ms_per_token: float
     ms_per_token: float
     prompt_tokens: int
     answer_tokens: int
@@ -288,7 +288,7 @@
             outcome.granted_ms = now_ms
             self._running[request_id] = outcome
             begin_ms = max(now_ms + CALL_MS, self._free_at_ms[outcome.prefiller])
-            read_ms = outcome.prompt_tokens * self.shape.read_ms_per_token
+            read_ms = outcome.prompt_tokens * self.shape.prefill_ms_per_token
             self._free_at_ms[outcome.prefiller] = begin_ms + read_ms
             self._at(begin_ms + read_ms + CALL_MS, self._stream(request_id))
 
