--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -288,9 +288,9 @@
             outcome.granted_ms = now_ms
             self._running[request_id] = outcome
             begin_ms = max(now_ms + CALL_MS, self._free_at_ms[outcome.prefiller])
-            read_ms = outcome.prompt_tokens * self.shape.prefill_ms_per_token
-            self._free_at_ms[outcome.prefiller] = begin_ms + read_ms
-            self._at(begin_ms + read_ms + CALL_MS, self._stream(request_id))
+            prefill_ms = outcome.prompt_tokens * self.shape.prefill_ms_per_token
+            self._free_at_ms[outcome.prefiller] = begin_ms + prefill_ms
+            self._at(begin_ms + prefill_ms + CALL_MS, self._stream(request_id))
 
         return hold
 
