--- a/saffronworks/tests/features/steps/class_load_steps.py
+++ b/saffronworks/tests/features/steps/class_load_steps.py
@@ -30,7 +30,7 @@
 
 def play(classes, lost_ms=None):
     """Loads that were played with each seed; the planner may be lost meanwhile."""
-    loads = [PlannerLoad(SHAPE, seed, come_back=True) for seed in SEEDS]
+    loads = [PlannerLoad(SHAPE, seed, retry=True) for seed in SEEDS]
     for load in loads:
         if lost_ms is not None:
             load.lose_planner(lost_ms)
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -69,7 +69,7 @@
 def refused_return(context):
     shape = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=2)
     rates = [(6000, 10.0), (10_000, 24.0), (20_000, 10.0)]
-    loads = [PlannerLoad(shape, seed, come_back=True) for seed in SEEDS]
+    loads = [PlannerLoad(shape, seed, retry=True) for seed in SEEDS]
     context.plays = [(load, load.run(rates)) for load in loads]
 
 
@@ -173,7 +173,7 @@
 @given("engines whose memory holds six long answers, and a burst of twice the usual")
 def long_answers(context):
     rates = [(5000, 16.0), (11_000, 30.0), (16_000, 16.0)]
-    loads = [PlannerLoad(ENGINES_OF_LONG_ANSWERS, seed, come_back=True) for seed in SEEDS]
+    loads = [PlannerLoad(ENGINES_OF_LONG_ANSWERS, seed, retry=True) for seed in SEEDS]
     context.plays = [(load, load.run(rates)) for load in loads]
 
 
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -57,7 +57,7 @@
 
 
 def play(speeds, noise, rates, seeds=(1, 2, 3), plain=False):
-    loads = [UnevenLoad(seed, speeds, noise, come_back=True) for seed in seeds]
+    loads = [UnevenLoad(seed, speeds, noise, retry=True) for seed in seeds]
     for load in loads:
         if plain:
             load.plan = without_speeds(load.plan)
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -125,12 +125,12 @@
         shape: EngineShape,
         seed: int,
         lost_share: float = 0.0,
-        come_back: bool = False,
+        retry: bool = False,
         speeds: dict[str, float] | None = None,
     ):
         self.shape = shape
         self._speeds = speeds or {}
-        self._come_back = come_back
+        self._come_back = retry
         self._lost_share = lost_share
         self._losses = random.Random(seed)
         self.outcomes: dict[str, Outcome] = {}
@@ -229,7 +229,7 @@
         return arrive
 
     def _return_as(self, request_id: str) -> Callable[[int], None]:
-        def come_back(now_ms: int) -> None:
+        def retry(now_ms: int) -> None:
             before = self.outcomes[request_id]
             self.outcomes[f"{request_id}-again"] = Outcome(
                 now_ms,
@@ -243,7 +243,7 @@
             )
             self._ask(f"{request_id}-again", now_ms, ())
 
-        return come_back
+        return retry
 
     def _ask(self, request_id: str, now_ms: int, avoid: tuple[str, ...]) -> None:
         outcome, shape = self.outcomes[request_id], self.shape
--- a/saffronworks/tests/uneven_engines.py
+++ b/saffronworks/tests/uneven_engines.py
@@ -49,9 +49,9 @@
         speeds: dict[str, float],
         noise: dict[str, EngineNoise] | None = None,
         shape: EngineShape = UNEVEN_ENGINES,
-        come_back: bool = False,
+        retry: bool = False,
     ):
-        super().__init__(shape, seed, come_back=come_back, speeds=speeds)
+        super().__init__(shape, seed, retry=retry, speeds=speeds)
         self.foreseen: list[tuple[float, float]] = []
         self._noise = noise or {}
         self._progress: dict[str, _Progress] = {}
