--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -130,7 +130,7 @@
     ):
         self.shape = shape
         self._speeds = speeds or {}
-        self._come_back = retry
+        self._retry = retry
         self._lost_share = lost_share
         self._losses = random.Random(seed)
         self.outcomes: dict[str, Outcome] = {}
@@ -274,7 +274,7 @@
                     self._at(now_ms + CALL_MS, self._hold(request_id))
                 case messages.MemoryRefusal(request_id, retry_after_ms):
                     outcome.refused_ms = now_ms
-                    if self._come_back and not outcome.returned:
+                    if self._retry and not outcome.returned:
                         self._at(now_ms + retry_after_ms, self._return_as(request_id))
 
     def _hold(self, request_id: str) -> Callable[[int], None]:
