--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -228,7 +228,7 @@
 
         return arrive
 
-    def _return_as(self, request_id: str) -> Callable[[int], None]:
+    def _retry_as(self, request_id: str) -> Callable[[int], None]:
         def retry(now_ms: int) -> None:
             before = self.outcomes[request_id]
             self.outcomes[f"{request_id}-again"] = Outcome(
@@ -275,7 +275,7 @@
                 case messages.MemoryRefusal(request_id, retry_after_ms):
                     outcome.refused_ms = now_ms
                     if self._retry and not outcome.returned:
-                        self._at(now_ms + retry_after_ms, self._return_as(request_id))
+                        self._at(now_ms + retry_after_ms, self._retry_as(request_id))
 
     def _hold(self, request_id: str) -> Callable[[int], None]:
         def hold(now_ms: int) -> None:
