--- a/saffronworks/tests/features/steps/class_load_steps.py
+++ b/saffronworks/tests/features/steps/class_load_steps.py
@@ -132,7 +132,7 @@
 def _waits(outcome, at_ms):
     """Whether it has asked, has no answer yet, and can still be in time."""
     until_ms = outcome.arrived_ms + outcome.target_ms - GRANT_TO_EVENT_MS
-    ends = [ms for ms in (outcome.granted_ms, outcome.refused_ms, until_ms) if ms is not None]
+    ends = [ms for ms in (outcome.granted_ms, outcome.rejected_ms, until_ms) if ms is not None]
     return outcome.arrived_ms <= at_ms < min(ends)
 
 
@@ -170,7 +170,7 @@
 
     def waited_in_vain(loads):
         every = [o for load in loads for o in load.outcomes.values()]
-        return sum(o.refused_ms is None and not o.first_within(o.patience_ms) for o in every)
+        return sum(o.rejected_ms is None and not o.first_within(o.patience_ms) for o in every)
 
     before = waited_in_vain(play_without(context.classes))
     assert waited_in_vain(context.loads) < before, (waited_in_vain(context.loads), before)
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -119,7 +119,7 @@
 def kept_and_late(plays):
     """The share of first callers who were told to wait, and waited too long."""
     first = [(load, o) for load, outcomes in plays for o in outcomes if not o.returned]
-    late = [o for load, o in first if o.refused_ms is None and not o.in_time(load.shape.target_ms)]
+    late = [o for load, o in first if o.rejected_ms is None and not o.in_time(load.shape.target_ms)]
     return len(late) / len(first)
 
 
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -93,7 +93,7 @@
     patience_ms: int = PATIENCE_MS
     granted_ms: int | None = None
     first_ms: int | None = None
-    refused_ms: int | None = None
+    rejected_ms: int | None = None
     holds_failed: int = 0
     instance: str = ""
     prefiller: str = ""
@@ -273,7 +273,7 @@
                     outcome.instance, outcome.prefiller = instance, prefiller or instance
                     self._at(now_ms + CALL_MS, self._hold(request_id))
                 case messages.MemoryRefusal(request_id, retry_after_ms):
-                    outcome.refused_ms = now_ms
+                    outcome.rejected_ms = now_ms
                     if self._retry and not outcome.returned:
                         self._at(now_ms + retry_after_ms, self._retry_as(request_id))
 
