--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -166,7 +166,7 @@
 @then("hardly a grant meets an endpoint without room")
 def hardly_a_failed_hold(context):
     for _, outcomes in context.plays:
-        failed = sum(outcome.holds_failed for outcome in outcomes)
+        failed = sum(outcome.failed_reservations for outcome in outcomes)
         assert failed <= 0.1 * len(outcomes), (failed, len(outcomes))
 
 
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -94,7 +94,7 @@
     granted_ms: int | None = None
     first_ms: int | None = None
     rejected_ms: int | None = None
-    holds_failed: int = 0
+    failed_reservations: int = 0
     instance: str = ""
     prefiller: str = ""
 
@@ -282,7 +282,7 @@
             outcome = self.outcomes[request_id]
             free_tokens = self.shape.capacity_tokens - self._held_tokens(outcome.instance, now_ms)
             if free_tokens < outcome.prompt_tokens + 0.25 * outcome.likely_tokens:
-                outcome.holds_failed += 1
+                outcome.failed_reservations += 1
                 self._ask(request_id, now_ms, (outcome.instance,))
                 return
             outcome.granted_ms = now_ms
