--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -271,13 +271,13 @@
             match reply.message:
                 case messages.MemoryGrant(request_id, instance, prefiller):
                     outcome.instance, outcome.prefiller = instance, prefiller or instance
-                    self._at(now_ms + CALL_MS, self._hold(request_id))
+                    self._at(now_ms + CALL_MS, self._reserve(request_id))
                 case messages.MemoryRefusal(request_id, retry_after_ms):
                     outcome.rejected_ms = now_ms
                     if self._retry and not outcome.returned:
                         self._at(now_ms + retry_after_ms, self._retry_as(request_id))
 
-    def _hold(self, request_id: str) -> Callable[[int], None]:
+    def _reserve(self, request_id: str) -> Callable[[int], None]:
         def hold(now_ms: int) -> None:
             outcome = self.outcomes[request_id]
             free_tokens = self.shape.capacity_tokens - self._held_tokens(outcome.instance, now_ms)
