--- a/saffronworks/tests/features/steps/class_load_steps.py
+++ b/saffronworks/tests/features/steps/class_load_steps.py
@@ -67,7 +67,7 @@
 
 
 def utilisation(loads):
-    held = [share for load in loads for at_ms, share in load.held_shares if at_ms <= LOAD_MS]
+    held = [share for load in loads for at_ms, share in load.memory_shares if at_ms <= LOAD_MS]
     return sum(held) / len(held)
 
 
--- a/saffronworks/tests/features/steps/planner_load_steps.py
+++ b/saffronworks/tests/features/steps/planner_load_steps.py
@@ -55,7 +55,7 @@
 @then("their memory is used up to the margin, and hardly a run is put back")
 def memory_used(context):
     for load, outcomes in context.plays:
-        held = [share for at_ms, share in load.held_shares if 5000 <= at_ms <= 15_000]
+        held = [share for at_ms, share in load.memory_shares if 5000 <= at_ms <= 15_000]
         assert sum(held) / len(held) > 0.87, sum(held) / len(held)
         assert load.preempted <= 0.02 * len(outcomes), load.preempted
 
@@ -186,6 +186,6 @@
 @then("their memory is held by runs to three fifths at the least, and hardly a run is put back")
 def memory_held(context):
     for load, outcomes in context.plays:
-        held = [share for at_ms, share in load.held_shares if 7000 <= at_ms <= 11_000]
+        held = [share for at_ms, share in load.memory_shares if 7000 <= at_ms <= 11_000]
         assert sum(held) / len(held) > 3 / 5, sum(held) / len(held)
         assert load.preempted <= 0.02 * len(outcomes), load.preempted
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -135,7 +135,7 @@
         self._losses = random.Random(seed)
         self.outcomes: dict[str, Outcome] = {}
         self.preempted = 0
-        self.held_shares: list[tuple[int, float]] = []
+        self.memory_shares: list[tuple[int, float]] = []
         self._rng = random.Random(seed)
         self._decoders = {f"d{index}": "z" for index in range(shape.decoders)}
         prefillers = {f"p{index}": "z" for index in range(shape.prefillers)}
@@ -336,7 +336,7 @@
     def _report(self, now_ms: int) -> None:
         for instance in self._decoders:
             share = self._held_tokens(instance, now_ms) / self.shape.capacity_tokens
-            self.held_shares.append((now_ms, share))
+            self.memory_shares.append((now_ms, share))
             self.preempted += share > 1
         runs = tuple(
             self._live(request_id, run, now_ms) for request_id, run in self._running.items()
