--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -188,7 +188,7 @@
             self._schedule(traffic, f"r{index}-", returned_share)
         end_ms = max(traffic.rates[-1][0] for traffic in classes) + 10_000
         for tick_ms in range(0, end_ms, PLAN_EVERY_MS):
-            self._at(tick_ms, lambda at_ms: self._tell(core.Tick(), at_ms))
+            self._at(tick_ms, lambda at_ms: self._step(core.Tick(), at_ms))
         for report_ms in range(0, end_ms, REPORT_EVERY_MS):
             self._at(report_ms, self._report)
         while self._events:
@@ -263,9 +263,9 @@
             priority=outcome.priority,
             target_ms=outcome.target_ms,
         )
-        self._tell(ask, now_ms)
+        self._step(ask, now_ms)
 
-    def _tell(self, event: core.Event, now_ms: int) -> None:
+    def _step(self, event: core.Event, now_ms: int) -> None:
         for reply in core.step(self.plan, event, self._decoders, START_MS + now_ms):
             outcome = self.outcomes[reply.message.request_id]
             match reply.message:
@@ -311,7 +311,7 @@
             outcome.first_ms = now_ms + CALL_MS
             if outcome.prefiller != outcome.instance and self._losses.random() >= self._lost_share:
                 ended = messages.ReadingEnded(request_id, "s", outcome.prefiller, whole=True)
-                self._tell(ended, now_ms)
+                self._step(ended, now_ms)
             self._decode(request_id, outcome, outcome.first_ms)
 
         return stream
@@ -329,7 +329,7 @@
             release = messages.MemoryRelease(
                 request_id, "s", tokens, stream_ms, length_tokens=tokens
             )
-            self._tell(release, now_ms)
+            self._step(release, now_ms)
 
         return end
 
@@ -341,7 +341,7 @@
         runs = tuple(
             self._live(request_id, run, now_ms) for request_id, run in self._running.items()
         )
-        self._tell(messages.MemoryReport("n", "s", runs), now_ms)
+        self._step(messages.MemoryReport("n", "s", runs), now_ms)
 
     def _live(self, request_id: str, run: Outcome, now_ms: int) -> messages.LiveRun:
         assert run.granted_ms is not None
