--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -173,7 +173,7 @@
         self._at(lost_ms, take_over)
 
     def _ask_again(self, request_id: str) -> Callable[[int], None]:
-        return lambda now_ms: self._ask(request_id, now_ms, ())
+        return lambda now_ms: self._request(request_id, now_ms, ())
 
     def run(self, rates: list[tuple[int, float]], returned_share: float = 0.0) -> list[Outcome]:
         """Arrivals at each rate, in requests a second, until its time in ms; then all end."""
@@ -224,7 +224,7 @@
                 priority=traffic.priority,
                 patience_ms=traffic.patience_ms,
             )
-            self._ask(request_id, now_ms, ())
+            self._request(request_id, now_ms, ())
 
         return arrive
 
@@ -241,11 +241,11 @@
                 priority=before.priority,
                 patience_ms=before.patience_ms,
             )
-            self._ask(f"{request_id}-again", now_ms, ())
+            self._request(f"{request_id}-again", now_ms, ())
 
         return retry
 
-    def _ask(self, request_id: str, now_ms: int, avoid: tuple[str, ...]) -> None:
+    def _request(self, request_id: str, now_ms: int, avoid: tuple[str, ...]) -> None:
         outcome, shape = self.outcomes[request_id], self.shape
         waited_ms = now_ms - outcome.arrived_ms
         ask = messages.MemoryAsk(
@@ -283,7 +283,7 @@
             free_tokens = self.shape.capacity_tokens - self._held_tokens(outcome.instance, now_ms)
             if free_tokens < outcome.prompt_tokens + 0.25 * outcome.likely_tokens:
                 outcome.failed_reservations += 1
-                self._ask(request_id, now_ms, (outcome.instance,))
+                self._request(request_id, now_ms, (outcome.instance,))
                 return
             outcome.granted_ms = now_ms
             self._running[request_id] = outcome
