--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -168,11 +168,11 @@
             self._report(now_ms)
             for request_id in waiting:
                 asks_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, RESEND_MS)
-                self._at(asks_ms, self._ask_again(request_id))
+                self._at(asks_ms, self._resend(request_id))
 
         self._at(lost_ms, take_over)
 
-    def _ask_again(self, request_id: str) -> Callable[[int], None]:
+    def _resend(self, request_id: str) -> Callable[[int], None]:
         return lambda now_ms: self._request(request_id, now_ms, ())
 
     def run(self, rates: list[tuple[int, float]], returned_share: float = 0.0) -> list[Outcome]:
