--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -70,7 +70,7 @@
 
 
 def foreseen_error(loads):
-    return mean(abs(seen - held) for load in loads for seen, held in load.foreseen if held)
+    return mean(abs(seen - held) for load in loads for seen, held in load.forecasts if held)
 
 
 @given("eight engines, two at 0.55 of the usual speed and six at 1.2, under a wave")
--- a/saffronworks/tests/uneven_engines.py
+++ b/saffronworks/tests/uneven_engines.py
@@ -52,7 +52,7 @@
         retry: bool = False,
     ):
         super().__init__(shape, seed, retry=retry, speeds=speeds)
-        self.foreseen: list[tuple[float, float]] = []
+        self.forecasts: list[tuple[float, float]] = []
         self._noise = noise or {}
         self._progress: dict[str, _Progress] = {}
         self._of_run: dict[int, _Progress] = {}
@@ -113,4 +113,4 @@
         """What the plan takes each engine's memory for, right before a report, and what it is."""
         at_ms = now_ms + 10_000
         for instance, occupancy in self.plan.occupancies(self._decoders, at_ms).items():
-            self.foreseen.append((occupancy.now_tokens, self._held_tokens(instance, now_ms)))
+            self.forecasts.append((occupancy.now_tokens, self._held_tokens(instance, now_ms)))
