--- a/saffronworks/tests/uneven_engines.py
+++ b/saffronworks/tests/uneven_engines.py
@@ -106,10 +106,10 @@
         return attrs.evolve(live, made_tokens=progress.event_tokens, quiet_ms=quiet_ms)
 
     def _report(self, now_ms: int) -> None:
-        self._note_foreseen(now_ms)
+        self._record_forecasts(now_ms)
         super()._report(now_ms)
 
-    def _note_foreseen(self, now_ms: int) -> None:
+    def _record_forecasts(self, now_ms: int) -> None:
         """What the plan takes each engine's memory for, right before a report, and what it is."""
         at_ms = now_ms + 10_000
         for instance, occupancy in self.plan.occupancies(self._decoders, at_ms).items():
