--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -69,7 +69,7 @@
     return Counter(o.instance for load in loads for o in load.outcomes.values() if o.instance)
 
 
-def foreseen_error(loads):
+def forecast_error(loads):
     return mean(abs(seen - held) for load in loads for seen, held in load.forecasts if held)
 
 
@@ -90,8 +90,8 @@
 @then("the memory that the plan foresees is nearer to what is held than at one speed for all")
 def nearer(context):
     """Mean error for an engine: 142 tokens, 231 at one speed."""
-    usual = foreseen_error(play(uneven_speeds(), ALL_NOISY, WAVE, plain=True))
-    assert foreseen_error(context.loads) < 0.7 * usual, (foreseen_error(context.loads), usual)
+    usual = forecast_error(play(uneven_speeds(), ALL_NOISY, WAVE, plain=True))
+    assert forecast_error(context.loads) < 0.7 * usual, (forecast_error(context.loads), usual)
 
 
 @then("each slow engine gets at most seven tenths of the load of a fast one")
