--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -1,8 +1,8 @@
-"""Plays load against the planner of decode memory on virtual time, with engines as a small model.
+"""Simulates load on the planner of decode memory in virtual time, with a small model of engines.
 
-No network and no clock: arrivals are drawn from a seed, engines read prompts one after the other
-and make tokens at a steady pace, and entry nodes tell the planner what they see of that. Scenarios
-state the pattern of the load and what must come of it.
+There is no network and no clock. Arrivals are drawn from a seed, engines prefill prompts one after
+the other and generate tokens at a steady pace, and entry nodes report to the planner. Scenarios
+state the pattern of the load and the expected results.
 """
 
 import heapq
@@ -33,19 +33,19 @@
 ]
 
 START_MS = 10_000
-# A call between an entry node and an engine or the planner, there and back.
+# Round-trip time of a call from an entry node to an engine or the planner.
 CALL_MS = 8
-# What entry nodes allow for from a grant to the first event.
+# Time that entry nodes assume from a grant to the first event.
 GRANT_TO_EVENT_MS = 400
-# How far hints are off, as the logarithm's deviation.
+# Standard deviation of the logarithm of length to hint.
 HINT_ERROR = 0.5
-# Callers leave when no event has come for so long.
+# Callers leave without an event for this time.
 PATIENCE_MS = 3000
 
 
 @attrs.frozen
 class EngineShape:
-    """What engines can do, and what is asked of them."""
+    """The number and speed of engines, and the mean size and target of requests."""
 
     prefillers: int
     decoders: int
@@ -58,19 +58,19 @@
     target_ms: int
 
 
-# Twelve runs fill an engine's memory, a prompt takes 96 ms to read and an answer three seconds to
-# make: reading and memory bind alike.
+# Twelve runs fill an engine's memory, prefill takes 96 ms and an answer three seconds: both prefill
+# and memory are bottlenecks.
 ENGINES_WITH_LITTLE_MEMORY = EngineShape(1, 4, 41_000, 64, 0.03, 5.2, 3200, 640, 900)
 
-# Answers longer than their prompts, and memory for five or six runs of either: slots never bind.
+# Answers are longer than prompts, and memory holds five or six runs: slots are no bottleneck.
 ENGINES_OF_LONG_ANSWERS = EngineShape(4, 15, 43_654, 16, 0.03, 0.7, 3200, 4480, 913)
 
 
 @attrs.frozen
 class TrafficClass:
-    """Callers of one priority: their target, and requests a second until times in ms.
+    """Callers of one priority; `rates` lists end times in ms with requests per second.
 
-    They leave when no event has come for `patience_ms`.
+    Callers leave without an event for `patience_ms`.
     """
 
     priority: int
@@ -81,7 +81,7 @@
 
 @attrs.define
 class Outcome:
-    """What became of one request; times in ms since the start, None where it did not happen."""
+    """The course of a request; times in ms since the start, None for what did not happen."""
 
     arrived_ms: int
     prompt_tokens: int
@@ -99,25 +99,25 @@
     prefiller: str = ""
 
     def in_time(self, target_ms: int) -> bool:
-        """Whether its first event came within the target, at the caller's first attempt."""
+        """Return whether this is a first attempt whose first event came within the target."""
         return not self.returned and self.first_within(target_ms)
 
     def first_within(self, target_ms: int) -> bool:
-        """Whether its first event came within so long of this attempt."""
+        """Return whether its first event came within this time."""
         return self.first_ms is not None and self.first_ms - self.arrived_ms <= target_ms
 
     def memory_tokens(self, ms_per_token: float, now_ms: int) -> float:
-        """What it takes of its engine now."""
+        """Return its present memory use on its engine, in tokens."""
         made_ms = now_ms - self.first_ms if self.first_ms is not None else 0
         return self.prompt_tokens + min(made_ms / ms_per_token, self.answer_tokens)
 
 
 class PlannerLoad:
-    """One service with one planner, under arrivals that a scenario names.
+    """One service with one planner, under the arrivals of a scenario.
 
-    `lost_share` of the messages that tell of a reading's end are lost, as from nodes cut off. Where
-    `come_back` is set, callers who are refused ask once more after the time that they were told.
-    `speeds` are those of single decode endpoints, as a multiple of the shape's.
+    `lost_share` of the messages on finished prefills are lost, as from nodes cut off. With `retry`,
+    rejected callers retry once after the given delay. `speeds` are speeds of single decode
+    endpoints, relative to the shape's.
     """
 
     def __init__(
@@ -156,9 +156,9 @@
         )
 
     def lose_planner(self, lost_ms: int) -> None:
-        """At this time the planner is lost; a second one that hears a report goes on without it.
+        """Lose the planner at this time; a standby planner takes over after a report.
 
-        Entry nodes ask it again as soon as the first one was silent for long enough.
+        Entry nodes resend their requests after the usual silence of the first planner.
         """
 
         def take_over(now_ms: int) -> None:
@@ -167,8 +167,8 @@
             self.plan.last_event_ms = START_MS + now_ms
             self._report(now_ms)
             for request_id in waiting:
-                asks_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, RESEND_MS)
-                self._at(asks_ms, self._resend(request_id))
+                resend_ms = now_ms + self._losses.randrange(PLANNER_SILENT_MS, RESEND_MS)
+                self._at(resend_ms, self._resend(request_id))
 
         self._at(lost_ms, take_over)
 
@@ -176,14 +176,14 @@
         return lambda now_ms: self._request(request_id, now_ms, ())
 
     def run(self, rates: list[tuple[int, float]], returned_share: float = 0.0) -> list[Outcome]:
-        """Arrivals at each rate, in requests a second, until its time in ms; then all end."""
+        """Run one class of callers by its rates until all requests have ended."""
         only = TrafficClass(DEFAULT_RANK, self.shape.target_ms, rates)
         return self.run_classes([only], returned_share)
 
     def run_classes(
         self, classes: list[TrafficClass], returned_share: float = 0.0
     ) -> list[Outcome]:
-        """Arrivals of all classes, each by its own rates; then all end."""
+        """Run all classes of callers by their rates until all requests have ended."""
         for index, traffic in enumerate(classes):
             self._schedule(traffic, f"r{index}-", returned_share)
         end_ms = max(traffic.rates[-1][0] for traffic in classes) + 10_000
@@ -278,7 +278,7 @@
                         self._at(now_ms + retry_after_ms, self._retry_as(request_id))
 
     def _reserve(self, request_id: str) -> Callable[[int], None]:
-        def hold(now_ms: int) -> None:
+        def reserve(now_ms: int) -> None:
             outcome = self.outcomes[request_id]
             free_tokens = self.shape.capacity_tokens - self._held_tokens(outcome.instance, now_ms)
             if free_tokens < outcome.prompt_tokens + 0.25 * outcome.likely_tokens:
@@ -292,7 +292,7 @@
             self._free_at_ms[outcome.prefiller] = begin_ms + prefill_ms
             self._at(begin_ms + prefill_ms + CALL_MS, self._stream(request_id))
 
-        return hold
+        return reserve
 
     def _held_tokens(self, instance: str, now_ms: int) -> float:
         runs = [run for run in self._running.values() if run.instance == instance]
