--- a/saffronworks/tests/uneven_engines.py
+++ b/saffronworks/tests/uneven_engines.py
@@ -1,4 +1,4 @@
-"""Load against the planner on engines of different speeds that slow down with their runs."""
+"""Simulates load on the planner with engines of different speeds that slow down with their runs."""
 
 import attrs
 
@@ -7,9 +7,9 @@
 
 __all__ = ["UNEVEN_ENGINES", "EngineNoise", "UnevenLoad", "uneven_speeds"]
 
-# Eight engines, of which reading never binds.
+# Eight engines; prefill is no bottleneck.
 UNEVEN_ENGINES = EngineShape(6, 8, 26_080, 12, 0.02, 3.0, 1500, 500, 900)
-# Each further run of an engine adds this share of the time for a token of a single one.
+# Each further run on an engine adds this share to its time per token.
 SHARE_PER_RUN = 0.06
 STEP_MS = 10
 EVENT_TOKENS = 7
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class EngineNoise:
-    """Engines are slower by a factor for a part of each period, each at another time."""
+    """An engine is slower by a factor for a part of each period, each engine at another time."""
 
     factor: float = 2.5
     slow_ms: int = 90
@@ -25,7 +25,7 @@
 
 
 def uneven_speeds(shape: EngineShape = UNEVEN_ENGINES) -> dict[str, float]:
-    """Every fourth engine at 0.55 of the usual speed, the others at 1.2."""
+    """Return speeds: every fourth engine at 0.55 of the usual speed, the others at 1.2."""
     return {f"d{index}": 0.55 if index % 4 == 0 else 1.2 for index in range(shape.decoders)}
 
 
@@ -38,9 +38,9 @@
 
 
 class UnevenLoad(PlannerLoad):
-    """Runs advance in steps, at the speed that their engine has with its present runs.
+    """A load whose runs advance in steps, at the speed of their engine with its present runs.
 
-    `noise` is that of single engines.
+    `noise` holds the noise of single engines.
     """
 
     def __init__(
@@ -58,13 +58,13 @@
         self._of_run: dict[int, _Progress] = {}
 
     def run(self, rates: list[tuple[int, float]], returned_share: float = 0.0) -> list[Outcome]:
-        """As before, until all runs that began have ended."""
+        """Run as the base class does, and advance runs until all have ended."""
         for at_ms in range(0, rates[-1][0] + 30_000, STEP_MS):
             self._at(at_ms, self._advance)
         return super().run(rates, returned_share)
 
     def ms_per_token(self, instance: str, runs: int, now_ms: int) -> float:
-        """The time for a token of an engine with so many runs."""
+        """Return the time per token of an engine with this number of runs."""
         usual = self._ms_per_token(instance) * (1 + SHARE_PER_RUN * (runs - 1))
         noise = self._noise.get(instance)
         phase_ms = now_ms + 77 * int(instance[1:])
@@ -110,7 +110,7 @@
         super()._report(now_ms)
 
     def _record_forecasts(self, now_ms: int) -> None:
-        """What the plan takes each engine's memory for, right before a report, and what it is."""
+        """Record the forecast and the real memory use of each engine right before a report."""
         at_ms = now_ms + 10_000
         for instance, occupancy in self.plan.occupancies(self._decoders, at_ms).items():
             self.forecasts.append((occupancy.now_tokens, self._held_tokens(instance, now_ms)))
