--- a/saffronworks/tests/share_load.py
+++ b/saffronworks/tests/share_load.py
@@ -1,4 +1,4 @@
-"""Plays callers of several organisations against the planner of decode memory on virtual time."""
+"""Simulates callers of several organisations on the planner of decode memory in virtual time."""
 
 import heapq
 import random
@@ -11,19 +11,20 @@
 from saffronworks.forwarding.planning.tuning import PLAN_EVERY_MS, REPORT_EVERY_MS
 
 START_MS = 10_000
-TARGET_MS, PATIENCE_MS, READ_MS = 900, 3000, 100
+TARGET_MS, PATIENCE_MS, PREFILL_MS = 900, 3000, 100
 PROMPT_TOKENS, ANSWER_TOKENS, MS_PER_TOKEN = 3200, 640, 4.5
 DECODERS = {f"d{index}": "z" for index in range(4)}
-# Memory for twelve runs of 3 s on each endpoint: 16 runs a second.
+# Memory for twelve runs of 3 s on each endpoint, which is a capacity of 16 runs a second.
 CAPACITY_TOKENS = 46_000
 
 
 @attrs.define(slots=False)
 class ShareLoad:
-    """Callers of each organisation at a rate a second, until a time; rejected ones ask again.
+    """Callers of each organisation at a rate per second until `until_ms`; rejected ones retry.
 
-    What is granted after that is not in time, since nothing is scarce then. `retries` is how often,
-    and `take_over_ms` when a second planner without history takes over.
+    Later grants do not count as in time, since memory is not scarce then. `retries` limits the
+    retries of an organisation's request, one by default. At `take_over_ms` a second planner without
+    history takes over.
     """
 
     rates: dict[str, float]
@@ -59,7 +60,7 @@
             while (now_ms := now_ms + self.rng.expovariate(per_s / 1000)) < self.until_ms:
                 self.at(now_ms, self.ask, f"{name}/{self.sequence}", name, 0)
         for at_ms in range(0, self.until_ms + PATIENCE_MS, PLAN_EVERY_MS):
-            self.at(at_ms, self.tell, core.Tick())
+            self.at(at_ms, self.step, core.Tick())
         for at_ms in range(0, self.until_ms + PATIENCE_MS, REPORT_EVERY_MS):
             self.at(at_ms, self.report)
         if self.take_over_ms is not None:
@@ -82,9 +83,9 @@
         )
         self.requests[request_id] = (ask, tries, now_ms)
         self.asked[name] += not tries
-        self.tell(ask, now_ms)
+        self.step(ask, now_ms)
 
-    def tell(self, event, now_ms):
+    def step(self, event, now_ms):
         for reply in core.step(self.plan, event, DECODERS, START_MS + now_ms):
             match reply.message:
                 case messages.MemoryGrant(request_id, instance):
@@ -102,14 +103,16 @@
         self.in_time[ask.organisation] += in_time
         self.granted_ms[ask.organisation].append(now_ms)
         stream_ms = ask.likely_tokens * MS_PER_TOKEN
-        self.held_ms[ask.organisation] += max(0, min(READ_MS + stream_ms, self.until_ms - now_ms))
-        self.at(now_ms + READ_MS, self.tell, messages.ReadingEnded(request_id, "s", "", True))
-        self.at(now_ms + READ_MS + stream_ms, self.end, ask, int(stream_ms))
+        self.held_ms[ask.organisation] += max(
+            0, min(PREFILL_MS + stream_ms, self.until_ms - now_ms)
+        )
+        self.at(now_ms + PREFILL_MS, self.step, messages.ReadingEnded(request_id, "s", "", True))
+        self.at(now_ms + PREFILL_MS + stream_ms, self.end, ask, int(stream_ms))
 
     def end(self, ask, stream_ms, now_ms):
         del self.running[ask.request_id]
         tokens = ask.likely_tokens
-        self.tell(
+        self.step(
             messages.MemoryRelease(ask.request_id, "s", tokens, stream_ms, (), tokens), now_ms
         )
 
@@ -117,16 +120,16 @@
         runs = []
         for request_id, (instance, granted_ms) in self.running.items():
             ask, age_ms = self.requests[request_id][0], now_ms - granted_ms
-            made = max(0, int((age_ms - READ_MS) / MS_PER_TOKEN))
+            made = max(0, int((age_ms - PREFILL_MS) / MS_PER_TOKEN))
             sizes = (ask.prompt_tokens, ask.likely_tokens, ask.most_tokens)
             owner = (ask.priority, ask.organisation)
             runs.append(messages.LiveRun(request_id, instance, *sizes, age_ms, made, 0, *owner))
-        self.tell(messages.MemoryReport("n", "s", tuple(runs)), now_ms)
+        self.step(messages.MemoryReport("n", "s", tuple(runs)), now_ms)
 
     def take_over(self, now_ms):
-        """The second planner heard all reports and no grant; those who wait ask again."""
+        """Replace the plan: the second planner gets a report and the requests that wait."""
         waiting = [waiter.ask for waiter in self.plan.waiters.values()]
         self.plan = self._new_plan(now_ms)
         self.report(now_ms)
         for ask in waiting:
-            self.tell(ask, now_ms)
+            self.step(ask, now_ms)
