--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -1,4 +1,4 @@
-"""The order and the refusals of plans without priorities, kept to compare plans of one priority."""
+"""A reference order and rejection of waiters without priorities, to compare plans with."""
 
 import contextlib
 from unittest.mock import patch
@@ -18,27 +18,27 @@
     return late, waiter.patience_deadline_ms if late else waiter.target_deadline_ms
 
 
-def _ranked(order, waiters, now_ms):
+def _sorted_waiters(order, waiters, now_ms):
     return iter(sorted(waiters, key=lambda waiter: _rank(waiter, now_ms)))
 
 
-def _refuse(state, decoders, now_ms):
+def _reject(state, decoders, now_ms):
     pending = [w for w in state.waiters.values() if not w.decided]
     if all(now_ms - waiter.arrived_ms < FIRST_REJECTION_MS for waiter in pending):
         return []
     per_s, usable = rejections.run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
     prefill_at_ms = now_ms + state.prefill.wait_ms(local_prefillers, now_ms)
-    replies, before = [], 0
-    for waiter in _ranked(state.order, state.waiters.values(), now_ms):
-        memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (before + 1) * 1000 / per_s
+    replies, ahead = [], 0
+    for waiter in _sorted_waiters(state.order, state.waiters.values(), now_ms):
+        memory_ms = 0.0 if state.best_fit(waiter.ask, usable) else (ahead + 1) * 1000 / per_s
         if _must_reject(waiter, max(prefill_at_ms, now_ms + memory_ms), now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _retry_after_ms(state, per_s, now_ms)
-            refusal = MemoryRefusal(waiter.ask.request_id, after_ms)
-            replies.append(Reply(waiter.ask.reply_to, refusal, waiter.priority))
+            rejection = MemoryRefusal(waiter.ask.request_id, after_ms)
+            replies.append(Reply(waiter.ask.reply_to, rejection, waiter.priority))
             continue
-        before += 1
+        ahead += 1
         prefill_at_ms += state.prefill.added_wait_ms(waiter.ask.prompt_tokens, local_prefillers)
     return replies
 
@@ -60,6 +60,9 @@
 
 @contextlib.contextmanager
 def without_priorities():
-    """Within it, plans order and reject as they did before they knew priorities."""
-    with patch.object(WaiterOrder, "offers", _ranked), patch.object(core, "reject", _refuse):
+    """Patch plans to order and reject waiters without priorities."""
+    with (
+        patch.object(WaiterOrder, "offers", _sorted_waiters),
+        patch.object(core, "reject", _reject),
+    ):
         yield
