--- a/saffronworks/tests/features/steps/class_load_steps.py
+++ b/saffronworks/tests/features/steps/class_load_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the planner under load of several classes of traffic, on virtual time."""
+"""Scenarios on the planner under load of several classes of traffic, in virtual time."""
 
 import attrs
 from behave import given, then
@@ -11,12 +11,12 @@
     TrafficClass,
 )
 
-# Three readers, so that memory binds; four endpoints with twelve runs of 3.4 s each.
+# With three prefillers memory is the bottleneck: four endpoints with twelve runs of 3.4 s each.
 SHAPE = attrs.evolve(ENGINES_WITH_LITTLE_MEMORY, prefillers=3)
 CAPACITY_PER_S = 4 * 12 / 3.4
 LOAD_MS = 12_000
 SEEDS = (1, 2, 3)
-# While the first runs begin, memory is free for everyone.
+# Until this time memory is not scarce, since the first runs begin.
 FILLED_MS = 4000
 
 
@@ -28,8 +28,8 @@
     return TrafficClass(52, 2000, [(LOAD_MS, share_of_capacity * CAPACITY_PER_S)], 8000)
 
 
-def play(classes, lost_ms=None):
-    """Loads that were played with each seed; the planner may be lost meanwhile."""
+def simulate(classes, lost_ms=None):
+    """Return loads simulated with each seed; the planner is lost at `lost_ms`, if given."""
     loads = [PlannerLoad(SHAPE, seed, retry=True) for seed in SEEDS]
     for load in loads:
         if lost_ms is not None:
@@ -39,19 +39,19 @@
 
 
 def burst():
-    """Urgent callers at a steady rate, and four seconds of bulk at twice the capacity."""
+    """Return urgent callers at a steady rate, and four seconds of bulk at twice the capacity."""
     rates = [(4000, 0.6), (8000, 2.0), (LOAD_MS, 0.6)]
     bulk_rates = [(until_ms, share * CAPACITY_PER_S) for until_ms, share in rates]
     return [urgent(1 / 6), TrafficClass(52, 2000, bulk_rates, 8000)]
 
 
-def play_without(classes):
-    """The same loads without classes: all have the default priority."""
-    return play([attrs.evolve(traffic, priority=DEFAULT_RANK) for traffic in classes])
+def simulate_without_classes(classes):
+    """Return the same loads with the default priority for all requests."""
+    return simulate([attrs.evolve(traffic, priority=DEFAULT_RANK) for traffic in classes])
 
 
-def tries(loads, traffic):
-    """The tries of each caller of a class."""
+def attempts_by_caller(loads, traffic):
+    """Return the attempts of each caller of a class."""
     callers = {}
     for seed, load in enumerate(loads):
         for name, outcome in load.outcomes.items():
@@ -61,8 +61,8 @@
 
 
 def share_within(loads, traffic, limit_ms):
-    """The share of a class's callers with a first event so soon after one of their tries."""
-    callers = tries(loads, traffic)
+    """Return the share of a class's callers with a first event in time after an attempt."""
+    callers = attempts_by_caller(loads, traffic)
     return sum(any(o.first_within(limit_ms) for o in each) for each in callers) / len(callers)
 
 
@@ -74,19 +74,19 @@
 @given("a load of few urgent callers beside bulk at twice the capacity")
 def few_urgent(context):
     context.classes = [urgent(1 / 6), bulk(2)]
-    context.loads = play(context.classes)
+    context.loads = simulate(context.classes)
 
 
-@given("a load of urgent callers beyond the capacity beside bulk")
+@given("a load of urgent callers above capacity beside bulk")
 def many_urgent(context):
     context.classes = [urgent(3), bulk(0.5)]
-    context.loads = play(context.classes)
+    context.loads = simulate(context.classes)
 
 
-@given("a load of few callers of the bulk beside urgent callers beyond the capacity")
+@given("a load of few bulk callers beside urgent callers above capacity")
 def few_bulk(context):
     context.classes = [urgent(3), bulk(0.1)]
-    context.loads = play(context.classes)
+    context.loads = simulate(context.classes)
 
 
 @then("nine in ten urgent callers are served in time, and three in five of the bulk")
@@ -97,14 +97,14 @@
 
 
 @then("an urgent class is served no less often than a less urgent one")
-def not_less_often(context):
+def urgent_served_as_often(context):
     shares = [share_within(context.loads, each, each.patience_ms) for each in context.classes]
     assert shares[0] >= shares[1] - 0.05, shares
 
 
-@then("a quarter of the bulk is served in time, as the bound against starvation lets in")
-def bulk_let_in(context):
-    """Guards against rejections of those whom the bound lets in: 8 in 100 were served in time."""
+@then("a quarter of the bulk is served in time, by the bound against starvation")
+def bulk_in_time(context):
+    """Guards bulk that the bound admits against rejection: 8 in 100 were served in time."""
     (_, bulk_class) = context.classes
     share = share_within(context.loads, bulk_class, bulk_class.target_ms)
     assert share >= 0.25, share
@@ -112,13 +112,16 @@
 
 @then("as much memory is used as without classes")
 def memory_used(context):
-    used, before = utilisation(context.loads), utilisation(play_without(context.classes))
+    used, before = (
+        utilisation(context.loads),
+        utilisation(simulate_without_classes(context.classes)),
+    )
     assert used >= before - 0.02, (used, before)
 
 
-@then("a class gets places as long as somebody of it waits who can be in time")
-def none_starves(context):
-    """Guards less urgent classes against starvation while urgent callers take all places."""
+@then("a class gets grants as long as one of its requests waits in time")
+def no_starvation(context):
+    """Guards less urgent classes against starvation while urgent callers fill all memory."""
     for load in context.loads:
         for traffic in context.classes:
             of_class = [o for o in load.outcomes.values() if o.priority == traffic.priority]
@@ -130,21 +133,21 @@
 
 
 def _waits(outcome, at_ms):
-    """Whether it has asked, has no answer yet, and can still be in time."""
+    """Return whether a request has arrived, has no answer, and can still be in time."""
     until_ms = outcome.arrived_ms + outcome.target_ms - GRANT_TO_EVENT_MS
     ends = [ms for ms in (outcome.granted_ms, outcome.rejected_ms, until_ms) if ms is not None]
     return outcome.arrived_ms <= at_ms < min(ends)
 
 
-@given("loads of bulk alone and of urgent callers alone, beyond the capacity")
+@given("loads of bulk alone and of urgent callers alone, above capacity")
 def alone(context):
     context.alone = [[bulk(1.5)], [urgent(1.5)]]
 
 
-@then("what becomes of each caller is the same as without classes")
+@then("the outcome of each request is the same as without classes")
 def same_outcomes(context):
     for classes in context.alone:
-        for load, before in zip(play(classes), play_without(classes), strict=True):
+        for load, before in zip(simulate(classes), simulate_without_classes(classes), strict=True):
             expected = {
                 name: attrs.evolve(each, priority=classes[0].priority)
                 for name, each in before.outcomes.items()
@@ -152,25 +155,25 @@
             assert load.outcomes == expected
 
 
-@given("a burst of bulk beside urgent callers, who all retry when they are told")
+@given("a burst of bulk beside urgent callers, and rejected callers who retry")
 def burst_retries(context):
     context.classes = burst()
-    context.loads = play(context.classes)
+    context.loads = simulate(context.classes)
 
 
-@given("a burst of bulk beside urgent callers, in which the planner is lost")
+@given("a burst of bulk beside urgent callers, during which the planner is lost")
 def planner_lost(context):
     context.classes = burst()
-    context.loads = play(context.classes, lost_ms=6000)
+    context.loads = simulate(context.classes, lost_ms=6000)
 
 
-@then("fewer callers wait in vain than without classes")
-def in_vain(context):
-    """Guards the check of those who retry: without it they wait until they leave."""
+@then("fewer requests wait in vain than without classes")
+def fewer_in_vain(context):
+    """Guards the rejection of retries: without it they wait until their callers leave."""
 
     def waited_in_vain(loads):
         every = [o for load in loads for o in load.outcomes.values()]
         return sum(o.rejected_ms is None and not o.first_within(o.patience_ms) for o in every)
 
-    before = waited_in_vain(play_without(context.classes))
+    before = waited_in_vain(simulate_without_classes(context.classes))
     assert waited_in_vain(context.loads) < before, (waited_in_vain(context.loads), before)
