--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -24,7 +24,7 @@
 
 
 class OneSpeed(EndpointSpeeds):
-    """Every endpoint is taken for usual."""
+    """Treats all endpoints as equally fast."""
 
     def factor(self, instance, now_ms):
         return 1.0
@@ -34,7 +34,7 @@
 
 
 class PlanWithoutSpeeds(core.PlanState):
-    """Chooses as it was done before speeds were known."""
+    """Chooses endpoints without regard to their speeds."""
 
     def best_fit(self, ask, usable, share=1.0):
         limit = share * self.limit_tokens
@@ -56,10 +56,10 @@
     return PlanWithoutSpeeds(**{**values, "speeds": OneSpeed()})
 
 
-def play(speeds, noise, rates, seeds=(1, 2, 3), plain=False):
+def simulate(speeds, noise, rates, seeds=(1, 2, 3), one_speed=False):
     loads = [UnevenLoad(seed, speeds, noise, retry=True) for seed in seeds]
     for load in loads:
-        if plain:
+        if one_speed:
             load.plan = without_speeds(load.plan)
         load.run(rates)
     return loads
@@ -70,27 +70,26 @@
 
 
 def forecast_error(loads):
-    return mean(abs(seen - held) for load in loads for seen, held in load.forecasts if held)
+    return mean(abs(forecast - held) for load in loads for forecast, held in load.forecasts if held)
 
 
 @given("eight engines, two at 0.55 of the usual speed and six at 1.2, under a wave")
 def uneven_wave(context):
-    context.loads = play(uneven_speeds(), ALL_NOISY, WAVE)
+    context.loads = simulate(uneven_speeds(), ALL_NOISY, WAVE)
 
 
-@then("nine in ten first callers are in time, and hardly a run is put back")
+@then("nine in ten first attempts are in time, and hardly any run is preempted")
 def in_time(context):
-    """Measured: 1306 of 1379, none put back."""
     first = [o for load in context.loads for o in load.outcomes.values() if not o.returned]
     served = sum(o.in_time(context.loads[0].shape.target_ms) for o in first)
     assert served >= 0.9 * len(first), (served, len(first))
     assert sum(load.preempted for load in context.loads) <= 0.01 * len(first)
 
 
-@then("the memory that the plan foresees is nearer to what is held than at one speed for all")
-def nearer(context):
-    """Mean error for an engine: 142 tokens, 231 at one speed."""
-    usual = forecast_error(play(uneven_speeds(), ALL_NOISY, WAVE, plain=True))
+@then("memory forecasts are closer than with one speed for all engines")
+def closer_forecasts(context):
+    """The mean error for an engine is 142 tokens, and 231 with one speed for all."""
+    usual = forecast_error(simulate(uneven_speeds(), ALL_NOISY, WAVE, one_speed=True))
     assert forecast_error(context.loads) < 0.7 * usual, (forecast_error(context.loads), usual)
 
 
@@ -107,8 +106,8 @@
 )
 
 
-@then("for any events of runs at one speed, choices are those of a plan without speeds")
-def same_choices(context):
+@then("for any events of runs at one speed, replies are those of a plan without speeds")
+def same_replies(context):
     @forall(EVENTS, st.sampled_from((0.7, 5.2)))
     def check(steps, ms_per_token):
         plan = warm_plan()
@@ -127,27 +126,30 @@
     if kind == "a":
         return ask(f"r{index}", 1000 + 37 * index, 300 + 91 * (index % 9))
     if kind == "r":
-        lives = [live(name, run, int(made[name])) for name, run in plan.runs.items()]
-        return messages.MemoryReport("n1", "s", tuple(lives))
+        live_runs = [make_live_run(name, run, int(made[name])) for name, run in plan.runs.items()]
+        return messages.MemoryReport("n1", "s", tuple(live_runs))
     if kind == "e" and plan.runs:
         ended = next(iter(plan.runs))
         return messages.MemoryRelease(ended, "s", 1000, int(1000 * ms_per_token))
     return core.Tick()
 
 
-def live(name, run, made_tokens, quiet_ms=0):
+def make_live_run(name, run, made_tokens, quiet_ms=0):
     return messages.LiveRun(name, run.instance, 1000, 900, 10_000, 50, made_tokens, quiet_ms)
 
 
-@then("so they are for noisy engines that slow down with their runs")
+@then("replies are also the same for noisy engines that slow down with their runs")
 def same_noisy(context):
-    plays = [play({}, ALL_NOISY, WAVE, seeds=(1, 2), plain=plain) for plain in (False, True)]
-    assert [load.outcomes for load in plays[0]] == [load.outcomes for load in plays[1]]
+    simulations = [
+        simulate({}, ALL_NOISY, WAVE, seeds=(1, 2), one_speed=one_speed)
+        for one_speed in (False, True)
+    ]
+    assert [load.outcomes for load in simulations[0]] == [load.outcomes for load in simulations[1]]
 
 
-@then("an engine that has three times the runs of another is not taken for slower")
+@then("an engine with three times the runs of another does not count as slower")
 def not_slower(context):
-    """The engine with more runs takes 1.3 times as long for a token."""
+    """Guards the correction for load: one with with more runs takes 1.3 times as long per token."""
     speeds = EndpointSpeeds()
     for turn in range(120):
         now_ms, runs = START_MS + 400 * turn, {"d0": 2 + turn % 5, "d1": 10 + turn % 5}
@@ -160,11 +162,11 @@
 
 @given("eight equal engines, of which one is 2.5 times as slow for 90 ms of every 600 ms")
 def one_noisy(context):
-    context.loads = play({}, {"d3": EngineNoise()}, WAVE)
+    context.loads = simulate({}, {"d3": EngineNoise()}, WAVE)
 
 
-@then("it is never shunned, and gets nine tenths of the load of the others at the least")
-def not_shunned(context):
+@then("it is never ejected, and gets at least nine tenths of the load of the others")
+def never_ejected(context):
     assert not any(load.plan.ejections.take_new() for load in context.loads)
     served = served_by(context.loads)
     assert served["d3"] >= 0.9 * served.total() / 8, served
@@ -172,17 +174,17 @@
 
 @given("eight engines under light load, of which one is twice as fast")
 def one_fast(context):
-    context.loads = play({"d5": 2.0}, {}, [(16_000, 8.0)])
+    context.loads = simulate({"d5": 2.0}, {}, [(16_000, 8.0)])
 
 
 @then("the fast one gets more, but less than a third of the load")
-def not_herded(context):
+def load_is_spread(context):
     served = served_by(context.loads)
     assert served.total() / 8 < served["d5"] < served.total() / 3, served
 
 
 def learn(speeds, slow, begin_ms, rounds=60):
-    """Four endpoints with a run each that reports, of which one is twice as slow."""
+    """Add samples of four endpoints with a run each, of which `slow` is half as fast."""
     for index in range(rounds):
         for name in DECODERS:
             speeds.learn_progress(name, 50 if name == slow else 100, 400, begin_ms + 400 * index)
@@ -197,7 +199,7 @@
     assert slow > 1.5 * usual, (slow, usual)
 
 
-@then("another start under its name begins with the average")
+@then("another start of the endpoint begins with the average")
 def another_start(context):
     speeds = context.plan.speeds
     assert speeds.factor("d1@7", context.now_ms) == 1.0
@@ -206,8 +208,8 @@
     assert speeds.factor("d1", context.now_ms) == 1.0
 
 
-@then("without samples it returns to the average")
-def returns(context):
+@then("without samples its speed returns to the average")
+def decays_to_average(context):
     speeds = EndpointSpeeds()
     now_ms = learn(speeds, "d1", START_MS)
     factors = [speeds.factor("d1", now_ms + turn * SPEED_HALF_LIFE_MS) for turn in range(6)]
@@ -215,7 +217,7 @@
 
 
 @then("a planner that starts anew begins with the average and learns it from reports")
-def learns_anew(context):
+def learns_from_reports(context):
     plan, runs = warm_plan(), {}
     for turn in range(10):
         for index, name in enumerate(DECODERS):
@@ -227,7 +229,7 @@
     assert plan.speeds.factor("d1", START_MS + 3600) > 1.1
 
 
-@then("few log lines a second tell of it, with a count and a sample each")
+@then("few log lines a second report changes, with a count and a sample each")
 def few_lines(context):
     plan, figures = warm_plan(), Figures("n")
     planner = MemoryPlanner(Mock(), Mock(), Mock(), "n", figures)
@@ -237,8 +239,8 @@
             plan.speeds.learn_run(f"d{index}", 10 * tokens, 4000, START_MS + turn)
     for later_ms in range(0, 2000, 20):
         planner._log_speeds(plan, START_MS + later_ms)
-    told = sum(figures.counts.values())
-    assert told == len(figures.take_samples()) == 2 * SPEED_LOGS_PER_S, told
+    logged = sum(figures.counts.values())
+    assert logged == len(figures.take_samples()) == 2 * SPEED_LOGS_PER_S, logged
 
 
 NUMBERS = st.sampled_from((0, -1, -(2**63), 1, 7, 400, 2**63)) | st.integers(-(10**6), 10**9)
@@ -255,7 +257,7 @@
             report = messages.MemoryReport(
                 "n1",
                 "s",
-                tuple(live(name, run, tokens, span_ms) for name, run in plan.runs.items()),
+                tuple(make_live_run(name, run, tokens, span_ms) for name, run in plan.runs.items()),
             )
             core.step(plan, report, DECODERS, now_ms)
             plan.speeds.learn_progress("d1", tokens, span_ms, now_ms)
