--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -149,7 +149,7 @@
 
 @then("an engine with three times the runs of another does not count as slower")
 def not_slower(context):
-    """Guards the correction for load: one with with more runs takes 1.3 times as long per token."""
+    """Guards the correction for load: one engine takes 1.3 times as long per token."""
     speeds = EndpointSpeeds()
     for turn in range(120):
         now_ms, runs = START_MS + 400 * turn, {"d0": 2 + turn % 5, "d1": 10 + turn % 5}
