--- a/saffronworks/tests/features/priorities.feature
+++ b/saffronworks/tests/features/priorities.feature
@@ -1,44 +1,44 @@
-Feature: priorities of those who wait for decode memory
+Feature: priorities of requests for decode memory
 
-  Scenario: with asks of one priority the plan is what it was without priorities
-    Then for any asks of one priority, releases and reports the replies are the same
+  Scenario: requests of one priority are planned as without priorities
+    Then for any requests of one priority, releases and reports the replies are the same
 
-  Scenario: the order of those who wait
+  Scenario: the order of waiters
     Given a full plan with waiters of several priorities
-    Then in-time waiters come before late ones, the more urgent and then the more pressing first
-    And an organisation beyond its share comes after others of its priority
+    Then in-time waiters come before late ones, ordered by priority and then by deadline
+    And an organisation above its share comes after others of its priority
 
   Scenario: a less urgent class is not starved
     Given a full plan with many urgent waiters and few less urgent ones
-    Then after eight grants to urgent ones in succession a less urgent one gets the next place
-    And each of several less urgent classes gets its turn
-    And a class that asks seldom waits until it gets the share that urgent callers get
-    And waiters that fit nowhere keep no place from the urgent ones
-    And turns are foreseen in the order in which places are granted
-
-  Scenario: rejections while several priorities are heard
-    Given a full plan that hears several priorities
-    Then one who returned and has no turn before it leaves is rejected at the next tick
-    And one who returned and was kept is not rejected after it has waited
-    And a first caller is rejected after an eighth of its target, without a target after 150 ms
-    And a first caller who would leave before its turn is rejected at the next tick
-    And an urgent caller is told to return before the bulk that was rejected earlier
-    And half a minute after the other priorities all is as without them
-
-  Scenario: an endpoint is kept for an urgent caller that fits nowhere
-    Given a plan in which an urgent caller fits nowhere, and a smaller one of the bulk would
-    Then the bulk gets nothing at the endpoint with most room, and its place elsewhere
-    And the urgent caller gets the memory that becomes free there, and then the bulk what is left
-    And with one priority the smaller one is served
-    And a class that was passed over too often may use the endpoint
-    And as many endpoints are kept as the rate of the urgent asks and its spread require
-
-  Scenario: what operators see of priorities
-    Given a planner that serves an urgent caller and rejects one of the bulk
-    Then its lines and gauges tell by priority who waits, was granted and was rejected
-
-  Scenario: rates of asks
-    Then the rate of a priority follows its asks, and is forgotten after half a minute
-
-  Scenario: priorities that no configuration gives
-    Then a priority that is negative or huge counts as the nearest one that is valid
+    Then after eight successive grants to urgent waiters a less urgent one gets the next grant
+    And each of several less urgent classes gets grants
+    And a class with few requests gets no greater share of them than urgent callers get
+    And waiters that fit nowhere do not block urgent ones
+    And the forecast order is the order of grants
+
+  Scenario: rejections with several priorities
+    Given a full plan with requests of several priorities
+    Then a retry that would leave before its grant is rejected at the next tick
+    And a retry that was not rejected at first is not rejected later
+    And a first attempt is rejected after an eighth of its target, or after 150 ms without one
+    And a first attempt that would leave before its grant is rejected at the next tick
+    And an urgent caller gets a shorter retry delay than bulk that was rejected earlier
+    And half a minute after the last request of other priorities they have no effect
+
+  Scenario: an endpoint is reserved for an urgent request that fits nowhere
+    Given a plan in which an urgent request fits nowhere, and a smaller one of the bulk would
+    Then the bulk gets no grant on the endpoint with most room, but on another one
+    And the urgent request gets the memory that becomes free there, and then the bulk the rest
+    And with one priority the smaller request is granted
+    And a class that is due may use the reserved endpoint
+    And the number of reserved endpoints follows the rate of urgent requests and its deviation
+
+  Scenario: log lines and metrics by priority
+    Given a planner that grants an urgent request and rejects one of the bulk
+    Then its log lines and gauges count waiters, grants and rejections by priority
+
+  Scenario: rates of requests
+    Then the rate of a priority follows its requests, and lapses after half a minute
+
+  Scenario: priorities out of range
+    Then a priority out of range counts as the nearest valid one
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -42,8 +42,8 @@
 )
 
 
-def play(moves, priority):
-    """Replies to a sequence of events, and who waits at its end."""
+def run_events(moves, priority):
+    """Return the replies to a sequence of events, and the waiters at its end."""
     plan, now_ms, replies, asked = warm_plan(), START_MS, [], 0
     plan.capacity_tokens, plan.prefill.prefillers = 20_000, {"p0": "z"}
     for what, span_ms, tokens, in_time_ms, returned in moves:
@@ -71,17 +71,17 @@
     return replies, list(plan.waiters)
 
 
-@then("for any asks of one priority, releases and reports the replies are the same")
+@then("for any requests of one priority, releases and reports the replies are the same")
 def same_replies(context):
-    """Guards deployments of one priority against any effect of priorities."""
+    """Guards deployments with one priority against any effect of priorities."""
     decided = set()
 
     @settings(max_examples=300, deadline=None)
     @forall(MOVES, st.integers(0, 99))
     def check(moves, priority):
         with without_priorities():
-            expected = play(moves, priority)
-        assert play(moves, priority) == expected
+            expected = run_events(moves, priority)
+        assert run_events(moves, priority) == expected
         decided.update(type(reply.message) for step in expected[0] for reply in step)
 
     check()
@@ -93,12 +93,12 @@
     return Waiter(asked, START_MS, START_MS + in_time_ms, START_MS + 3000)
 
 
-def names(waiters):
+def request_ids(waiters):
     return [each.ask.request_id for each in waiters]
 
 
-@given("a full plan with waiters of several priorities")
-def several(context):
+@given("a full plan with waiters of waiters_of_several_priorities priorities")
+def waiters_of_several_priorities(context):
     context.waiters = [
         waiter("late-urgent", 0, -10),
         waiter("bulk", 2, 300),
@@ -110,33 +110,33 @@
     context.expected = ["pressing", "urgent", "pressing-bulk", "bulk", "late-urgent", "late-bulk"]
 
 
-@then("in-time waiters come before late ones, the more urgent and then the more pressing first")
+@then("in-time waiters come before late ones, ordered by priority and then by deadline")
 def by_priority(context):
     order = WaiterOrder()
-    assert names(order.offers(context.waiters, START_MS)) == context.expected
-    assert names(order.forecast(context.waiters, START_MS)) == context.expected
+    assert request_ids(order.offers(context.waiters, START_MS)) == context.expected
+    assert request_ids(order.forecast(context.waiters, START_MS)) == context.expected
 
 
-@then("an organisation beyond its share comes after others of its priority")
-def by_excess(context):
+@then("an organisation above its share comes after others of its priority")
+def excess_after_others(context):
     order = WaiterOrder(excess=lambda organisation, priority, now_ms: 2.0 * (organisation == "big"))
     waiters = [
         waiter("big", 0, 100, "big"),
         waiter("small", 0, 500, "small"),
         waiter("bulk", 2, 50, "small"),
     ]
-    assert names(order.offers(waiters, START_MS)) == ["small", "big", "bulk"]
+    assert request_ids(order.offers(waiters, START_MS)) == ["small", "big", "bulk"]
 
 
-def grant_in_turn(order, waiters):
-    """Who gets a place when places come free one after another."""
-    waiting, turns = list(waiters), []
+def grant_all(order, waiters):
+    """Return the waiters in the order in which they are granted one after the other."""
+    waiting, grants = list(waiters), []
     while waiting:
         first = next(order.offers(waiting, START_MS))
         waiting.remove(first)
         order.record_grant(first, waiting, START_MS)
-        turns.append(first)
-    return turns
+        grants.append(first)
+    return grants
 
 
 @given("a full plan with many urgent waiters and few less urgent ones")
@@ -147,39 +147,39 @@
     ]
 
 
-@then("after eight grants to urgent ones in succession a less urgent one gets the next place")
-def bulk_in_turn(context):
-    turns = grant_in_turn(WaiterOrder(), context.waiters)
-    at = [index for index, each in enumerate(turns) if each.priority == 2]
+@then("after eight successive grants to urgent waiters a less urgent one gets the next grant")
+def bulk_gets_ninth_grant(context):
+    grants = grant_all(WaiterOrder(), context.waiters)
+    at = [index for index, each in enumerate(grants) if each.priority == 2]
     assert at == [8, 17, 26], at
 
 
-@then("each of several less urgent classes gets its turn")
-def each_class(context):
-    """Guards the least urgent class: with one count for all, the second took every turn."""
+@then("each of waiters_of_several_priorities less urgent classes gets grants")
+def each_class_gets_grants(context):
+    """Guards the least urgent class: with one count for all classes, the second took all grants."""
     waiters = [*context.waiters, *(waiter(f"last{index}", 9, 500) for index in range(3))]
-    turns = grant_in_turn(WaiterOrder(), waiters)
+    grants = grant_all(WaiterOrder(), waiters)
     for priority in (2, 9):
-        at = [index for index, each in enumerate(turns) if each.priority == priority]
+        at = [index for index, each in enumerate(grants) if each.priority == priority]
         assert at[0] <= MAX_PASSES + 1 and at[1] - at[0] <= MAX_PASSES + 2, (priority, at)
 
 
-@then("a class that asks seldom waits until it gets the share that urgent callers get")
-def seldom(context):
-    """Guards urgent callers beyond the capacity: with one place in nine a few of the bulk were
-    served nearly all, and of the urgent two in five."""
+@then("a class with few requests gets no greater share of them than urgent callers get")
+def few_requests(context):
+    """Guards urgent callers above capacity: with one grant in nine, nearly all of a few bulk
+    requests were served, but only two in five of the urgent ones."""
     order = WaiterOrder()
     for at_ms in range(START_MS - 5000, START_MS, 25):
         order.rates.record(0, at_ms)
         if at_ms % 500 == 0:
             order.rates.record(2, at_ms)
-    turns = grant_in_turn(order, context.waiters)
-    at = [index for index, each in enumerate(turns) if each.priority == 2]
+    grants = grant_all(order, context.waiters)
+    at = [index for index, each in enumerate(grants) if each.priority == 2]
     assert 18 <= at[0] <= 22, at
 
 
-@then("waiters that fit nowhere keep no place from the urgent ones")
-def fits_nowhere(context):
+@then("waiters that fit nowhere do not block urgent ones")
+def fitting_nowhere(context):
     plan = warm_plan()
     plan.order.passes[2] = MAX_PASSES
     for index in range(10):
@@ -193,11 +193,11 @@
     assert [grant.request_id for grant in granted(replies)] == ["urgent"], replies
 
 
-@then("turns are foreseen in the order in which places are granted")
-def foreseen(context):
+@then("the forecast order is the order of grants")
+def forecast_order(context):
     order = WaiterOrder(passes={2: 3})
-    expected = names(grant_in_turn(copy.deepcopy(order), context.waiters))
-    assert names(order.forecast(context.waiters, START_MS)) == expected
+    expected = request_ids(grant_all(copy.deepcopy(order), context.waiters))
+    assert request_ids(order.forecast(context.waiters, START_MS)) == expected
     assert order.passes == {2: 3}, "a forecast is no grant"
 
 
@@ -205,8 +205,8 @@
 D0 = {"d0": "z"}
 
 
-def full_mixed_plan():
-    """A plan without free memory, with sixty urgent callers who wait, and one of the bulk."""
+def full_plan_of_several_priorities():
+    """Return a plan without free memory, with runs of the bulk and sixty urgent waiters."""
     plan = warm_plan()
     for index in range(30):
         core.step(plan, ask(f"full{index}", returned=True, priority=BULK), D0, START_MS)
@@ -218,55 +218,55 @@
     return plan
 
 
-def told(plan, now_ms):
+def tick_rejections(plan, now_ms):
     return [refusal.request_id for refusal in rejected(core.step(plan, core.Tick(), D0, now_ms))]
 
 
-@given("a full plan that hears several priorities")
-def full_mixed(context):
-    context.plan = full_mixed_plan()
+@given("a full plan with requests of waiters_of_several_priorities priorities")
+def plan_of_several_priorities(context):
+    context.plan = full_plan_of_several_priorities()
 
 
-@then("one who returned and has no turn before it leaves is rejected at the next tick")
-def returned_rejected(context):
-    """Guards against 7 s of waiting for a 503: those who returned were never asked about."""
+@then("a retry that would leave before its grant is rejected at the next tick")
+def retry_rejected(context):
+    """Guards against 7 s of waiting for a 503, when retries were never rejected."""
     plan = context.plan
     core.step(plan, ask("again", returned=True, priority=BULK), D0, START_MS)
-    assert told(plan, START_MS + PLAN_EVERY_MS) == ["again"]
+    assert tick_rejections(plan, START_MS + PLAN_EVERY_MS) == ["again"]
 
 
-@then("one who returned and was kept is not rejected after it has waited")
-def returned_kept(context):
-    plan = full_mixed_plan()
+@then("a retry that was not rejected at first is not rejected later")
+def retry_kept(context):
+    plan = full_plan_of_several_priorities()
     kept = ask("kept", returned=True, priority=BULK, in_time_ms=20_000, patience_ms=20_000)
     core.step(plan, kept, D0, START_MS)
-    assert told(plan, START_MS + PLAN_EVERY_MS) == []
+    assert tick_rejections(plan, START_MS + PLAN_EVERY_MS) == []
     again = ask("kept", returned=True, priority=BULK, in_time_ms=-100, patience_ms=100)
     core.step(plan, again, D0, START_MS + 900)
-    assert told(plan, START_MS + 900) == [] and "kept" in plan.waiters
+    assert tick_rejections(plan, START_MS + 900) == [] and "kept" in plan.waiters
 
 
-@then("a first caller is rejected after an eighth of its target, without a target after 150 ms")
+@then("a first attempt is rejected after an eighth of its target, or after 150 ms without one")
 def first_rejected(context):
     for target_ms, after_ms in ((800, 100), (2000, FIRST_REJECTION_MS), (0, FIRST_REJECTION_MS)):
-        plan = full_mixed_plan()
+        plan = full_plan_of_several_priorities()
         first = ask("a", priority=BULK, target_ms=target_ms, patience_ms=60_000)
         core.step(plan, first, D0, START_MS)
-        assert told(plan, START_MS + after_ms - 1) == []
-        assert told(plan, START_MS + after_ms) == ["a"], target_ms
+        assert tick_rejections(plan, START_MS + after_ms - 1) == []
+        assert tick_rejections(plan, START_MS + after_ms) == ["a"], target_ms
 
 
-@then("a first caller who would leave before its turn is rejected at the next tick")
+@then("a first attempt that would leave before its grant is rejected at the next tick")
 def leaves_before(context):
-    plan = full_mixed_plan()
+    plan = full_plan_of_several_priorities()
     core.step(plan, ask("a", priority=BULK, target_ms=2000), D0, START_MS)
-    assert told(plan, START_MS + PLAN_EVERY_MS) == ["a"]
+    assert tick_rejections(plan, START_MS + PLAN_EVERY_MS) == ["a"]
 
 
-@then("an urgent caller is told to return before the bulk that was rejected earlier")
-def told_by_class(context):
-    """Guards against a retry time of one class that the queue of another one sets."""
-    plan = full_mixed_plan()
+@then("an urgent caller gets a shorter retry delay than bulk that was rejected earlier")
+def retry_delay_by_class(context):
+    """Guards a class against retry delays that the queue of another class sets."""
+    plan = full_plan_of_several_priorities()
     plan.waiters.clear()
     for index in range(20):
         bulk = ask(f"bulk{index}", priority=BULK, in_time_ms=0, patience_ms=60_000)
@@ -279,20 +279,23 @@
     assert urgent.retry_after_ms < max(refusal.retry_after_ms for refusal in before)
 
 
-@then("half a minute after the other priorities all is as without them")
-def no_longer_mixed(context):
-    plan = full_mixed_plan()
+@then("half a minute after the last request of other priorities they have no effect")
+def priorities_lapse(context):
+    plan = full_plan_of_several_priorities()
     now_ms = START_MS + PRIORITY_LAPSE_MS + 1
     plan.last_event_ms = now_ms
     for run in plan.runs.values():
         run.began_ms = now_ms
     plan.waiters.clear()
     core.step(plan, ask("again", returned=True, priority=BULK, patience_ms=100), D0, now_ms)
-    assert plan.waiters and told(plan, now_ms + PLAN_EVERY_MS) == []
+    assert plan.waiters and tick_rejections(plan, now_ms + PLAN_EVERY_MS) == []
 
 
 def plan_with_room(rooms, urgent_priority=URGENT):
-    """Endpoints with so much planned memory left; the urgent caller that waits needs 30,000."""
+    """Return a plan and its endpoints with this planned memory left, in tokens.
+
+    An urgent request for 30,000 tokens waits.
+    """
     plan, decoders = warm_plan(), {}
     for at_ms in range(START_MS - 5000, START_MS, 100):
         plan.order.rates.record(urgent_priority, at_ms)
@@ -306,26 +309,26 @@
 
 
 def ask_bulk(plan, decoders, prompt=5000, **changes):
-    """Where a caller of the bulk is placed."""
+    """Return the endpoints that a request of the bulk gets."""
     asked = ask("bulk", prompt, 1, priority=BULK, **changes)
     return [grant.instance for grant in granted(core.step(plan, asked, decoders, START_MS))]
 
 
-@given("a plan in which an urgent caller fits nowhere, and a smaller one of the bulk would")
+@given("a plan in which an urgent request fits nowhere, and a smaller one of the bulk would")
 def urgent_fits_nowhere(context):
     context.plan, context.decoders = plan_with_room([10_000, 20_000, 4000, 4000])
 
 
-@then("the bulk gets nothing at the endpoint with most room, and its place elsewhere")
-def kept_from_bulk(context):
-    """Guards urgent callers with long prompts: smaller runs took each place before they fitted."""
+@then("the bulk gets no grant on the endpoint with most room, but on another one")
+def reserved_from_bulk(context):
+    """Guards urgent callers with long prompts: smaller runs took all memory before they fitted."""
     plan, decoders = plan_with_room([4000, 20_000, 4000, 4000])
     assert ask_bulk(plan, decoders) == []
     assert ask_bulk(*plan_with_room([10_000, 20_000, 4000, 4000])) == ["d0"]
 
 
-@then("the urgent caller gets the memory that becomes free there, and then the bulk what is left")
-def kept_until_served(context):
+@then("the urgent request gets the memory that becomes free there, and then the bulk the rest")
+def reserved_until_granted(context):
     plan, decoders = plan_with_room([4000, 20_000, 4000, 4000])
     assert ask_bulk(plan, decoders) == []
     replies = core.step(plan, messages.MemoryRelease("run1", "s"), decoders, START_MS)
@@ -333,31 +336,31 @@
     assert placed == [("urgent", "d1"), ("bulk", "d1")], placed
 
 
-@then("with one priority the smaller one is served")
+@then("with one priority the smaller request is granted")
 def one_priority_serves(context):
     assert ask_bulk(*plan_with_room([4000, 20_000, 4000, 4000], BULK)) == ["d1"]
 
 
-@then("a class that was passed over too often may use the endpoint")
-def passed_may_use(context):
-    """Guards the bound against starvation: the reserve must not take the place that it gives."""
+@then("a class that is due may use the reserved endpoint")
+def due_class_may_use(context):
+    """Guards the bound against starvation: a reserved endpoint must not defeat it."""
     plan, decoders = plan_with_room([4000, 20_000, 4000, 4000])
     plan.order.passes[BULK] = MAX_PASSES
     assert ask_bulk(plan, decoders) == ["d1"]
 
 
-@then("as many endpoints are kept as the rate of the urgent asks and its spread require")
-def kept_by_rate(context):
+@then("the number of reserved endpoints follows the rate of urgent requests and its deviation")
+def reserved_by_rate(context):
     rates = RequestRates()
     for at_ms in range(0, 10_000, 100):
         rates.record(URGENT, at_ms)
     rates.record(BULK, 10_000)
     assert Reserve(rates, 50, 10_000).places(URGENT) == 1
     assert 10 <= Reserve(rates, 1000, 10_000).places(URGENT) <= 13
-    assert Reserve(rates, 50, 60_000).places(URGENT) == 0, "nothing was heard lately"
+    assert Reserve(rates, 50, 60_000).places(URGENT) == 0, "there are no recent requests"
 
 
-@then("the rate of a priority follows its asks, and is forgotten after half a minute")
+@then("the rate of a priority follows its requests, and lapses after half a minute")
 def rates_follow(context):
     rates = RequestRates()
     for at_ms in range(0, 10_000, 50):
@@ -368,10 +371,10 @@
     assert rates.per_s(URGENT, 10_000) == 0 and rates.is_mixed(10_000)
     assert rates.per_s(100, 15_000) < 3
     rates.record(BULK, 15_000)
-    assert not rates.is_mixed(9950 + PRIORITY_LAPSE_MS + 1), "the urgent were heard too long ago"
+    assert not rates.is_mixed(9950 + PRIORITY_LAPSE_MS + 1), "the last urgent request is too old"
 
 
-@then("a priority that is negative or huge counts as the nearest one that is valid")
+@then("a priority out of range counts as the nearest valid one")
 def any_priority(context):
     @forall(st.integers())
     def check(priority):
@@ -382,7 +385,7 @@
     check()
 
 
-@given("a planner that serves an urgent caller and rejects one of the bulk")
+@given("a planner that grants an urgent request and rejects one of the bulk")
 def planner_of_both(context):
     context.figures = Figures("n")
     planner = MemoryPlanner(Directory(), lambda: None, lambda: (), "n1", context.figures)
@@ -399,9 +402,9 @@
             planner._log_decision(Mock(now_ms=lambda: START_MS), reply, plan, {})
 
 
-@then("its lines and gauges tell by priority who waits, was granted and was rejected")
-def told_by_priority(context):
-    """Guards operators against a plan whose order and reserve leave no trace."""
+@then("its log lines and gauges count waiters, grants and rejections by priority")
+def counted_by_priority(context):
+    """Guards the log lines and metrics of the order and the reserve."""
     line = context.lines[-1]
     for pair in ("priority=52", "waiting_by_priority=50:1,52:1", "granted=50:1", "rejected=52:1"):
         assert pair in line.split(), (pair, line)
@@ -417,8 +420,8 @@
         (1, "50"),
         (1, "52"),
     ]
-    # The meter is one for the process and keeps the first instruments of a name, so the page of a
-    # run of many scenarios may show another node's figures.
+    # The process has one meter, which keeps the first instruments of a name, so the page of a run
+    # of many scenarios may show another node's figures.
     metrics = ForwardingMetrics(context.figures)
     counted = list(metrics._observe("saffronworks_planned", context.figures.counts)(None))
     kept = list(metrics._read("saffronworks_plan_endpoints_kept")(None))
