--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -29,7 +29,7 @@
     now_ms: int
     kept: dict[StartId, int] = attrs.Factory(dict)
 
-    def places(self, priority: int) -> int:
+    def expected_requests(self, priority: int) -> int:
         """Return how many requests at least as urgent are expected before the next run ends."""
         return math.ceil(self.rates.expected(priority + 1, self.next_place_ms, self.now_ms))
 
@@ -41,7 +41,7 @@
 
     def keep(self, waiter: Waiter, usable: Occupancies) -> None:
         """Reserve the endpoint with the lowest peak for a waiter that fits nowhere."""
-        most = min(self.places(waiter.priority), KEPT_SHARE * len(usable))
+        most = min(self.expected_requests(waiter.priority), KEPT_SHARE * len(usable))
         left = usable.keys() - self.kept.keys() - set(waiter.ask.avoid)
         if left and len(self.kept) < most:
             first = min(left, key=lambda name: (usable[name].peak_tokens, name))
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -355,9 +355,9 @@
     for at_ms in range(0, 10_000, 100):
         rates.record(URGENT, at_ms)
     rates.record(BULK, 10_000)
-    assert Reserve(rates, 50, 10_000).places(URGENT) == 1
-    assert 10 <= Reserve(rates, 1000, 10_000).places(URGENT) <= 13
-    assert Reserve(rates, 50, 60_000).places(URGENT) == 0, "there are no recent requests"
+    assert Reserve(rates, 50, 10_000).expected_requests(URGENT) == 1
+    assert 10 <= Reserve(rates, 1000, 10_000).expected_requests(URGENT) <= 13
+    assert Reserve(rates, 50, 60_000).expected_requests(URGENT) == 0, "there are no recent requests"
 
 
 @then("the rate of a priority follows its requests, and lapses after half a minute")
