--- a/saffronworks/forwarding/planning/reserves.py
+++ b/saffronworks/forwarding/planning/reserves.py
@@ -25,13 +25,13 @@
     """
 
     rates: RequestRates
-    next_place_ms: float
+    next_end_ms: float
     now_ms: int
     kept: dict[StartId, int] = attrs.Factory(dict)
 
     def expected_requests(self, priority: int) -> int:
         """Return how many requests at least as urgent are expected before the next run ends."""
-        return math.ceil(self.rates.expected(priority + 1, self.next_place_ms, self.now_ms))
+        return math.ceil(self.rates.expected(priority + 1, self.next_end_ms, self.now_ms))
 
     def eligible(self, priority: int, usable: Occupancies) -> Occupancies:
         """Return the endpoints that may get a run of this priority."""
