--- a/saffronworks/tests/features/fair_shares.feature
+++ b/saffronworks/tests/features/fair_shares.feature
@@ -1,48 +1,48 @@
 Feature: fair shares of decode memory among organisations
 
-  Scenario: three organisations at six times their usual load beside thirteen usual ones
-    # Without shares the usual ones were in time for 68 in 100 requests, with them for 92.
-    Given three organisations that ask for six times as much as thirteen others
+  Scenario: three organisations at six times the usual load beside thirteen usual ones
+    # Without shares 68 in 100 requests of the usual organisations were in time, with them 92.
+    Given three large organisations with six times the load of thirteen usual ones
     Then nine in ten requests of the usual organisations are granted in time
-    And each of the others holds no less memory than a usual one, and at all times
+    And each large organisation holds at least as much memory as a usual one, at all times
     And as much memory is used as without shares
 
-  Scenario: an organisation that asks under two names
-    Given a large organisation, and one that asks as much under two names
+  Scenario: an organisation that uses two names
+    Given a large organisation, and one with the same load under two names
     Then the usual organisations are served nearly as before
-    And neither name holds more than the large organisation did
+    And neither name holds more memory than the large organisation
 
-  Scenario: an organisation that was not there before
-    Given an organisation that begins to ask while others ask for too much
-    Then it is granted in time from its first request on
+  Scenario: a new organisation
+    Given an organisation that starts while others overload the service
+    Then its requests are granted in time from the first one on
 
   Scenario: requests without an organisation
     Given many requests without an organisation beside usual organisations
-    Then they share as one organisation, and the usual ones are in time
+    Then they share as one organisation, and the usual organisations are in time
 
-  Scenario: an organisation whose callers ask again and again
-    Given two organisations that ask for too much, and one of them tries five times
-    Then it holds hardly more memory for that
+  Scenario: an organisation with many retries
+    Given two organisations above their shares, one of which retries five times
+    Then it holds hardly more memory
 
   Scenario: a planner without history takes over
-    Given three large organisations when a second planner takes over
-    Then the usual organisations are in time after that, too
-    And what runs hold counts from the start
-
-  Scenario: nothing changes where nothing is to be shared
-    Then one organisation of any priorities is planned for as without shares
-    And so are many while there is room for all
-    And those who waited for a plan to begin are granted as they came
+    Given three large organisations while a second planner takes over
+    Then the usual organisations are still in time
+    And the memory of reported runs counts from the start
+
+  Scenario: shares have no effect where memory is not shared
+    Then requests of one organisation with any priorities are planned as without shares
+    And requests of many organisations are also planned so while there is room for all
+    And requests that waited for a new plan are granted in the order of their arrival
     And a grant that found no room is charged once
 
-  Scenario: the levels of both queues
-    Then the level with unknown demands is the widened mean, as the cells' queues had it
-    And the level with known demands shares out all there is by max-min fairness
+  Scenario: the fair levels of both queues
+    Then the level for unknown demands is the mean times a factor
+    And the level for known demands divides the whole service by max-min fairness
 
-  Scenario: more organisations than state is kept for
-    Given a plan with asks of 29,000 organisations
-    Then it keeps what is bounded, and a look at them takes some milliseconds
+  Scenario: more organisations than the limit of the state
+    Given a plan with requests of 29,000 organisations
+    Then its state is bounded, and an update takes some milliseconds
     And its log lines and metrics are bounded
 
-  Scenario: a rejection beyond the organisation's share
-    Then the planner's line and saffronctl explain name the excess of its organisation
+  Scenario: a rejection above the organisation's share
+    Then the planner's log line and saffronctl explain show the excess of its organisation
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on fair shares of decode memory, on virtual time."""
+"""Scenarios on fair shares of decode memory, in virtual time."""
 
 import math
 import time
@@ -29,13 +29,13 @@
 EXCESS = "saffronworks.forwarding.planning.fair_shares.FairShares.excess"
 
 
-def play(rates, **changes):
+def simulate(rates, **changes):
     return [ShareLoad(rates, seed, 16_000, **changes).run() for seed in SEEDS]
 
 
 @cache
-def play_large():
-    return play(USUAL | LARGE)
+def simulate_large():
+    return simulate(USUAL | LARGE)
 
 
 def held(loads, names):
@@ -47,9 +47,9 @@
     return served / sum(load.asked[name] for load in loads for name in names)
 
 
-@given("three organisations that ask for six times as much as thirteen others")
+@given("three large organisations with six times the load of thirteen usual ones")
 def three_large(context):
-    context.loads = play_large()
+    context.loads = simulate_large()
 
 
 @then("nine in ten requests of the usual organisations are granted in time")
@@ -58,7 +58,7 @@
     assert min(in_time(context.loads, [name]) for name in USUAL) >= 0.75
 
 
-@then("each of the others holds no less memory than a usual one, and at all times")
+@then("each large organisation holds at least as much memory as a usual one, at all times")
 def large_share(context):
     each = [held(context.loads, [name]) for name in LARGE]
     assert min(each) >= held(context.loads, USUAL) / len(USUAL), each
@@ -72,77 +72,77 @@
 @then("as much memory is used as without shares")
 def utilised(context):
     with patch(EXCESS, return_value=0):
-        without = play(USUAL | LARGE)
+        without = simulate(USUAL | LARGE)
     everyone = USUAL | LARGE
     assert held(context.loads, everyone) >= 0.98 * held(without, everyone)
     assert in_time(without, USUAL) <= in_time(context.loads, USUAL) - 0.15
 
 
-@given("a large organisation, and one that asks as much under two names")
+@given("a large organisation, and one with the check load under two names")
 def split(context):
-    context.whole = play(USUAL | {"large-0": 12.0})
-    context.split = play(USUAL | {"part-0": 6.0, "part-1": 6.0})
+    context.whole = simulate(USUAL | {"large-0": 12.0})
+    context.split = simulate(USUAL | {"part-0": 6.0, "part-1": 6.0})
 
 
 @then("the usual organisations are served nearly as before")
-def split_harms_none(context):
+def split_does_not_harm(context):
     before, after = in_time(context.whole, USUAL), in_time(context.split, USUAL)
     assert after >= before - 0.05, (before, after)
 
 
-@then("neither name holds more than the large organisation did")
-def split_gains_little(context):
+@then("neither name holds more memory than the large organisation")
+def split_does_not_gain(context):
     whole = held(context.whole, ["large-0"])
     parts = [held(context.split, [f"part-{index}"]) for index in (0, 1)]
     assert max(parts) <= whole and sum(parts) <= 1.1 * whole, (whole, parts)
 
 
-@given("an organisation that begins to ask while others ask for too much")
+@given("an organisation that starts while others overload the service")
 def newcomer(context):
-    context.loads = play(USUAL | LARGE | {"new": USUAL_PER_S}, starts_ms={"new": 5000})
+    context.loads = simulate(USUAL | LARGE | {"new": USUAL_PER_S}, starts_ms={"new": 5000})
 
 
-@then("it is granted in time from its first request on")
+@then("its requests are granted in time from the first one on")
 def newcomer_in_time(context):
     assert in_time(context.loads, ["new"]) >= 0.9, in_time(context.loads, ["new"])
 
 
 @given("many requests without an organisation beside usual organisations")
-def nameless(context):
-    context.loads = play(USUAL | {"": 16.0})
+def without_organisation(context):
+    context.loads = simulate(USUAL | {"": 16.0})
 
 
-@then("they share as one organisation, and the usual ones are in time")
-def nameless_share(context):
+@then("they share as one organisation, and the usual organisations are in time")
+def without_organisation_share(context):
     assert in_time(context.loads, USUAL) >= 0.9, in_time(context.loads, USUAL)
     assert held(context.loads, [""]) >= 3 * held(context.loads, USUAL) / len(USUAL)
 
 
-@given("two organisations that ask for too much, and one of them tries five times")
-def insistent(context):
+@given("two organisations above their shares, one of which retries five times")
+def many_retries(context):
     rates = USUAL | {"large-0": 6.0, "large-1": 6.0}
-    context.loads = play(rates, retries={"large-0": 5, "large-1": 0})
+    context.loads = simulate(rates, retries={"large-0": 5, "large-1": 0})
 
 
-@then("it holds hardly more memory for that")
-def insistent_gains_nothing(context):
+@then("it holds hardly more memory")
+def retries_gain_nothing(context):
     insists, other = (held(context.loads, [name]) for name in ("large-0", "large-1"))
     assert insists <= 1.2 * other, (insists, other)
     assert in_time(context.loads, USUAL) >= 0.9
 
 
-@given("three large organisations when a second planner takes over")
+@given("three large organisations while a second planner takes over")
 def taken_over(context):
-    context.loads = play(USUAL | LARGE, take_over_ms=5000)
+    context.loads = simulate(USUAL | LARGE, take_over_ms=5000)
 
 
-@then("the usual organisations are in time after that, too")
+@then("the usual organisations are still in time")
 def in_time_after(context):
-    assert in_time(context.loads, USUAL) >= in_time(play_large(), USUAL) - 0.05
+    assert in_time(context.loads, USUAL) >= in_time(simulate_large(), USUAL) - 0.05
 
 
-@then("what runs hold counts from the start")
-def held_counts(context):
+@then("the memory of reported runs counts from the start")
+def reported_memory_counts(context):
     plan = core.PlanState(0, CAPACITY_TOKENS, 12, last_event_ms=START_MS)
     runs = tuple(
         messages.LiveRun(f"{index}", f"d{index % 4}", 3200, 640, 999, 0, organisation="large")
@@ -164,51 +164,51 @@
     )
 
 
-PLAYS = st.lists(
+EVENTS = st.lists(
     st.tuples(st.integers(0, 60), st.integers(0, 3), st.integers(1, 9000), st.booleans()),
     max_size=60,
 )
 
 
-def play_events(events, organisations, capacity=12_000, slots=12, readers=()):
-    """The replies to asks, each followed by a tick or by the end of the oldest run."""
+def run_events(events, organisations, capacity=12_000, slots=12, prefillers=()):
+    """Return the replies to requests, each followed by a tick or the end of the oldest run."""
     plan = core.PlanState(0, capacity, slots, last_event_ms=START_MS)
-    plan.prefill.prefillers = dict.fromkeys(readers, "z")
-    now_ms, told = START_MS, []
+    plan.prefill.prefillers = dict.fromkeys(prefillers, "z")
+    now_ms, replies = START_MS, []
     for index, (gap_ms, which, tokens, ends) in enumerate(events):
         now_ms += gap_ms
         priority = 55 if organisations > 1 else which * 11
         ask = make_ask(f"r{index}", f"o{which % organisations}", priority, tokens)
-        told.append(core.step(plan, ask, DECODERS, now_ms))
+        replies.append(core.step(plan, ask, DECODERS, now_ms))
         event = core.Tick()
         if ends and plan.runs:
             event = messages.MemoryRelease(next(iter(plan.runs)), "s")
-        told.append(core.step(plan, event, DECODERS, now_ms))
-    return told
+        replies.append(core.step(plan, event, DECODERS, now_ms))
+    return replies
 
 
-@then("one organisation of any priorities is planned for as without shares")
+@then("requests of one organisation with any priorities are planned as without shares")
 def one_organisation(context):
-    @forall(PLAYS)
-    def same(events):
+    @forall(EVENTS)
+    def check(events):
         with patch(EXCESS, return_value=0):
-            without = play_events(events, 1)
-        assert play_events(events, 1) == without
+            without = run_events(events, 1)
+        assert run_events(events, 1) == without
 
-    same()
+    check()
 
 
-@then("so are many while there is room for all")
+@then("requests of many organisations are also planned so while there is room for all")
 def room_for_all(context):
-    room = {"capacity": 10**9, "slots": 99, "readers": [f"p{index}" for index in range(99)]}
+    room = {"capacity": 10**9, "slots": 99, "prefillers": [f"p{index}" for index in range(99)]}
 
-    @forall(PLAYS)
-    def same(events):
+    @forall(EVENTS)
+    def check(events):
         with patch(EXCESS, return_value=0):
-            without = play_events(events, 4, **room)
-        assert play_events(events, 4, **room) == without
+            without = run_events(events, 4, **room)
+        assert run_events(events, 4, **room) == without
 
-    same()
+    check()
 
 
 def roomy_plan(**changes):
@@ -217,7 +217,7 @@
     return plan
 
 
-@then("those who waited for a plan to begin are granted as they came")
+@then("requests that waited for a new plan are granted in the order of their arrival")
 def not_scarce(context):
     plan = roomy_plan(nodes=("n",))
     for name in ("large", "usual"):
@@ -230,7 +230,7 @@
 
 
 @then("a grant that found no room is charged once")
-def refunded(context):
+def charged_once(context):
     plan = roomy_plan()
     plan.began_ms = 0
     for _ in range(3):
@@ -242,16 +242,16 @@
 AMOUNTS = st.floats(0, 1e6)
 
 
-@then("the level with unknown demands is the widened mean, as the cells' queues had it")
+@then("the level for unknown demands is the mean times a factor")
 def unknown_demands(context):
     @forall(AMOUNTS, st.integers(1, 99), st.floats(0.1, 9))
-    def same(total, count, factor):
+    def check(total, count, factor):
         assert fair_level(total, [math.inf] * count, factor) == max(1.0, factor * total / count)
 
-    same()
+    check()
 
 
-@then("the level with known demands shares out all there is by max-min fairness")
+@then("the level for known demands divides the whole service by max-min fairness")
 def known_demands(context):
     @forall(st.lists(st.floats(1, 1e6), min_size=1), st.floats(0.01, 1))
     def shared(demands, part):
@@ -263,7 +263,7 @@
     shared()
 
 
-@given("a plan with asks of 29,000 organisations")
+@given("a plan with requests of 29,000 organisations")
 def many(context):
     context.shares, context.names = FairShares(), [f"o{index}" for index in range(29_000)]
     waiting = core.PlanState(0, 1, 1)
@@ -277,7 +277,7 @@
     context.waiters = waiting.waiters
 
 
-@then("it keeps what is bounded, and a look at them takes some milliseconds")
+@then("its state is bounded, and an update takes some milliseconds")
 def bounded(context):
     shares = context.shares
     assert len(shares._granted.served) <= MAX_CLAIMANTS
@@ -297,9 +297,9 @@
 def bounded_output(context):
     planner = MemoryPlanner(SimpleNamespace(revision=0), None, None, "n", Figures("n"))
     plan = core.PlanState(0, 1, 1, "s", shares=context.shares, waiters=context.waiters)
-    with LogLines("saffronworks.forwarding.planning.service") as texts:
+    with LogLines("saffronworks.forwarding.planning.service") as lines:
         planner._log_shares(plan, 10_000)
-    assert len(texts) == 8 and all("event=plan_share service=s" in text for text in texts), texts
+    assert len(lines) == 8 and all("event=plan_share service=s" in text for text in lines), lines
     assert len(planner._figures.counts) <= 2 * 65 and len(planner._figures.share_levels) <= 2 * 65
     waiting = [
         v for (name, _), v in planner._figures.share_levels.items() if name.endswith("waiting")
@@ -307,10 +307,10 @@
     assert sum(waiting) == len(context.waiters), sum(waiting)
     plan.waiters = {}
     planner._log_shares(plan, 10_020, last=True)
-    assert not any(planner._figures.share_levels.values()), "a planner that sleeps left values"
+    assert not any(planner._figures.share_levels.values()), "an idle planner left values"
 
 
-@then("the planner's line and saffronctl explain name the excess of its organisation")
+@then("the planner's log line and saffronctl explain show the excess of its organisation")
 def explained(context):
     decision = Decision("r", 55, "acme", 2)
     line = f"event=plan request=r do=MemoryRefusal(request_id='r'){_format_share(decision)}"
