--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -85,8 +85,8 @@
     def is_complete(self, now_ms: int) -> bool:
         """Return whether all runs are known: each node has reported, or the warm-up is over.
 
-        Without the reports, nodes that started together had no plan for 0.9 s: the prompts of that
-        time went to one prefill endpoint and were up to 1.3 s late.
+        With the warm-up alone, nodes that started together had no plan for 0.9 s: the prompts of
+        that time went to one prefiller and were up to 1.3 s late.
         """
         if now_ms - self.began_ms >= WARM_UP_MS:
             return True
--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -74,7 +74,7 @@
         return LOCAL_PREFILL_FACTOR * prompt_tokens * self.pace.ms_per_token + LOCAL_PREFILL_GAP_MS
 
     def added_wait_ms(self, prompt_tokens: int, decoders: Iterable[StartId]) -> float:
-        """Return by how much a prompt delays the next one, on average over all endpoints."""
+        """Return by how much a prompt delays the next one, if all endpoints prefill in parallel."""
         times_ms = [self.prefill_ms(name, prompt_tokens) for name in (*self.prefillers, *decoders)]
         per_ms = sum(1 / max(1.0, each_ms) for each_ms in times_ms)
         return 1 / per_ms if per_ms else 0.0
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -112,7 +112,8 @@
     `ahead` counts the waiters ahead of it, by priority.
 
     A priority gets its grants by the bound against starvation however many requests are more
-    urgent. A forecast by the number of all waiters ahead would reject those requests as well.
+    urgent. A forecast by the number of all waiters ahead would reject requests that the bound
+    admits.
 
     Once a waiter is late, all in-time waiters go first, so it gets nothing while requests arrive
     faster than runs end.
--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -13,8 +13,8 @@
 SPEED_FRESH_MS = 1000
 # A sample that covers this time has full weight, a shorter one proportionally less.
 FULL_WEIGHT_MS = 3000
-# Speed of the service's average, relative to that of an endpoint's factor: a change of all
-# endpoints must move the average, not the factors.
+# The average of the service follows samples this many times as fast as the factor of an endpoint
+# does: a change of all endpoints must move the average, not the factors.
 AVERAGE_WEIGHT = 4.0
 # Endpoints count as equal below this logarithm of the difference from the average, and as fully
 # different at twice as much. Equal engines stay within it, also with noise.
@@ -67,7 +67,7 @@
 # share of the planned memory at most. The other runs stand still and hold their memory for longer:
 # nine runs for 94 ms lose a third of a run's time, which costs nothing while nobody waits.
 LOCAL_PREFILL_MEMORY_SHARE = 0.7
-# Time from a grant to the first event while prefillers have such a backlog.
+# Time from a grant to the first event while prefillers have MAX_PREFILL_BACKLOG_MS to do.
 FIRST_EVENT_MS = 400
 # Assumed deviation of answer lengths from their hints, as a logarithm, until answers have ended:
 # hints are right in the median and often far off.
