--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -78,7 +78,7 @@
     assert in_time(without, USUAL) <= in_time(context.loads, USUAL) - 0.15
 
 
-@given("a large organisation, and one with the check load under two names")
+@given("a large organisation, and one with the same load under two names")
 def split(context):
     context.whole = simulate(USUAL | {"large-0": 12.0})
     context.split = simulate(USUAL | {"part-0": 6.0, "part-1": 6.0})
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -97,7 +97,7 @@
     return [each.ask.request_id for each in waiters]
 
 
-@given("a full plan with waiters of waiters_of_several_priorities priorities")
+@given("a full plan with waiters of several priorities")
 def waiters_of_several_priorities(context):
     context.waiters = [
         waiter("late-urgent", 0, -10),
@@ -154,7 +154,7 @@
     assert at == [8, 17, 26], at
 
 
-@then("each of waiters_of_several_priorities less urgent classes gets grants")
+@then("each of several less urgent classes gets grants")
 def each_class_gets_grants(context):
     """Guards the least urgent class: with one count for all classes, the second took all grants."""
     waiters = [*context.waiters, *(waiter(f"last{index}", 9, 500) for index in range(3))]
@@ -222,7 +222,7 @@
     return [refusal.request_id for refusal in rejected(core.step(plan, core.Tick(), D0, now_ms))]
 
 
-@given("a full plan with requests of waiters_of_several_priorities priorities")
+@given("a full plan with requests of several priorities")
 def plan_of_several_priorities(context):
     context.plan = full_plan_of_several_priorities()
 
