--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -195,10 +195,10 @@
     """
     state.reported_ms[report.reply_to] = now_ms
     state.speeds.count_runs((run.instance for run in state.runs.values()), now_ms)
-    listed = {run.request_id for run in report.runs}
+    reported = {run.request_id for run in report.runs}
     for request_id, run in list(state.runs.items()):
-        may_be_newer = not run.listed and now_ms - run.began_ms < REPORT_LAPSE_MS
-        if run.reply_to == report.reply_to and request_id not in listed and not may_be_newer:
+        may_be_newer = not run.reported and now_ms - run.began_ms < REPORT_LAPSE_MS
+        if run.reply_to == report.reply_to and request_id not in reported and not may_be_newer:
             _remove_run(state, request_id)
     for live in report.runs:
         known = state.runs.get(live.request_id)
@@ -206,7 +206,7 @@
             known = state.runs[live.request_id] = _make_run(live, report.reply_to, now_ms)
         if live.made_tokens and known.reader is not None:
             state.prefill.remove(live.request_id, known.reader)
-        known.listed = True
+        known.reported = True
         _apply_progress(state, known, live, now_ms)
         if live.made_tokens and live.quiet_ms >= STALLED_RUN_MS:
             state.ejections.record_failure(live.instance, now_ms)
--- a/saffronworks/forwarding/planning/runs.py
+++ b/saffronworks/forwarding/planning/runs.py
@@ -18,7 +18,7 @@
 class Run:
     """A run on an endpoint; times are those of the planner's own clock.
 
-    By the last report, the answer had `made_tokens` at `made_ms`; `listed` says whether a report
+    By the last report, the answer had `made_tokens` at `made_ms`; `reported` says whether a report
     has named the run. `reader` is the endpoint that prefills the prompt, None if it is not known.
     """
 
@@ -31,7 +31,7 @@
     reader: StartId | None = None
     made_tokens: int = 0
     made_ms: int = 0
-    listed: bool = False
+    reported: bool = False
     priority: int = DEFAULT_RANK
     organisation: str = ""
 
