--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -279,7 +279,7 @@
         )
         held = usable[instance]
         held.add(run.growth(state.lengths, held.ms_per_token, now_ms))
-        held.settle()
+        held.update_peak()
         state.runs[ask.request_id] = run
         del state.waiters[ask.request_id]
         state.order.record_grant(waiter, state.waiters.values(), now_ms)
--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -127,7 +127,7 @@
                 held = usable[run.instance]
                 held.add(run.growth(self.lengths, held.ms_per_token, now_ms))
         for occupancy in usable.values():
-            occupancy.settle()
+            occupancy.update_peak()
         return usable
 
     @property
--- a/saffronworks/forwarding/planning/runs.py
+++ b/saffronworks/forwarding/planning/runs.py
@@ -66,11 +66,11 @@
     ms_per_token: float = MS_PER_TOKEN
 
     def add(self, growth: tuple[float, float]) -> None:
-        """Add a run; `settle` updates the peak."""
+        """Add a run; `update_peak` updates the peak."""
         self.growths.append(growth)
         self.now_tokens += growth[0]
 
-    def settle(self) -> None:
+    def update_peak(self) -> None:
         """Update the forecast peak."""
         self.peak_tokens = projected_peak(self.growths)
 
