--- a/saffronworks/forwarding/planning/runs.py
+++ b/saffronworks/forwarding/planning/runs.py
@@ -60,7 +60,7 @@
     """
 
     growths: list[tuple[float, float]]
-    now_tokens: float = 0.0
+    used_tokens: float = 0.0
     peak_tokens: float = 0.0
     slowness: float = 1.0
     ms_per_token: float = MS_PER_TOKEN
@@ -68,7 +68,7 @@
     def add(self, growth: tuple[float, float]) -> None:
         """Add a run; `update_peak` updates the peak."""
         self.growths.append(growth)
-        self.now_tokens += growth[0]
+        self.used_tokens += growth[0]
 
     def update_peak(self) -> None:
         """Update the forecast peak."""
@@ -76,7 +76,7 @@
 
     def may_fit(self, prompt_tokens: int, limit_tokens: float) -> bool:
         """Return False only if one more prompt certainly exceeds the limit; a cheap check."""
-        least_tokens = max(self.peak_tokens, self.now_tokens + prompt_tokens)
+        least_tokens = max(self.peak_tokens, self.used_tokens + prompt_tokens)
         return not self.growths or least_tokens <= limit_tokens
 
 
--- a/saffronworks/tests/uneven_engines.py
+++ b/saffronworks/tests/uneven_engines.py
@@ -113,4 +113,4 @@
         """Record the forecast and the real memory use of each engine right before a report."""
         at_ms = now_ms + 10_000
         for instance, occupancy in self.plan.occupancies(self._decoders, at_ms).items():
-            self.forecasts.append((occupancy.now_tokens, self._held_tokens(instance, now_ms)))
+            self.forecasts.append((occupancy.used_tokens, self._held_tokens(instance, now_ms)))
