--- a/saffronworks/forwarding/planning/lengths.py
+++ b/saffronworks/forwarding/planning/lengths.py
@@ -40,7 +40,7 @@
     _sums: list[float] = attrs.Factory(list)
 
     def __attrs_post_init__(self) -> None:
-        self._add_up()
+        self._update_sums()
 
     def learn(self, likely_tokens: int, tokens: int) -> None:
         """Add the length of an answer that has ended."""
@@ -51,7 +51,7 @@
         ratio = tokens / likely_tokens
         self._newest.append(ratio)
         insort(self._sorted, ratio)
-        self._add_up()
+        self._update_sums()
 
     def more_tokens(self, made_tokens: float, likely_tokens: int, most_tokens: int) -> float:
         """Return how many more tokens are expected of an answer with `made_tokens`."""
@@ -64,6 +64,6 @@
             more = OVERRUN_SHARE * made_tokens
         return max(0.0, min(more, most_tokens - made_tokens))
 
-    def _add_up(self) -> None:
+    def _update_sums(self) -> None:
         """Update the sums of the sorted ratios from each index to the end."""
         self._sums = list(accumulate(reversed(self._sorted)))[::-1]
