--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -159,8 +159,8 @@
     def _set_levels(
         self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int
     ) -> None:
-        self._held = self._sum_up(runs.values())
-        asked = self._sum_up(waiter.ask for waiter in waiters.values())
+        self._held = self._memory_by_claimant(runs.values())
+        asked = self._memory_by_claimant(waiter.ask for waiter in waiters.values())
         service = self._granted.all(now_ms)
         for claimant, cost in self._held.items():
             service[claimant] = service.get(claimant, 0.0) + cost
@@ -176,7 +176,7 @@
         self._levels = {p: fair_level(totals[p], wanted) for p, wanted in demands.items()}
         self._excesses, self._levels_ms = {}, now_ms
 
-    def _sum_up(self, sized: Iterable[Run | MemoryAsk]) -> dict[Claimant, float]:
+    def _memory_by_claimant(self, sized: Iterable[Run | MemoryAsk]) -> dict[Claimant, float]:
         """Return the memory of runs or requests by claimant, in runs of mean size."""
         sums: dict[Claimant, float] = {}
         for each in sized:
