--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -160,18 +160,18 @@
         self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int
     ) -> None:
         self._held = self._memory_by_claimant(runs.values())
-        asked = self._memory_by_claimant(waiter.ask for waiter in waiters.values())
+        requested = self._memory_by_claimant(waiter.ask for waiter in waiters.values())
         service = self._granted.all(now_ms)
         for claimant, cost in self._held.items():
             service[claimant] = service.get(claimant, 0.0) + cost
-        totals = {priority: 0.0 for priority, _ in asked}
+        totals = {priority: 0.0 for priority, _ in requested}
         demands: dict[int, list[float]] = {priority: [] for priority in totals}
         for (priority, organisation), amount in service.items():
             if priority in totals:
                 totals[priority] += amount
-                if (priority, organisation) not in asked:
+                if (priority, organisation) not in requested:
                     demands[priority].append(amount)
-        for claimant, cost in asked.items():
+        for claimant, cost in requested.items():
             demands[claimant[0]].append(service.get(claimant, 0.0) + cost)
         self._levels = {p: fair_level(totals[p], wanted) for p, wanted in demands.items()}
         self._excesses, self._levels_ms = {}, now_ms
