--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -250,11 +250,11 @@
 
 @then("prompts go to the prefiller in the same zone first, then to the one that is free first")
 def same_zone_first(context):
-    readers = []
+    prefillers = []
     for index in range(4):
         replies = core.step(context.plan, ask(f"r{index}"), {"d0": "z"}, START_MS)
-        readers += [grant.reader for grant in granted(replies)]
-    assert readers == ["near", "far", "near", "far"], readers
+        prefillers += [grant.reader for grant in granted(replies)]
+    assert prefillers == ["near", "far", "near", "far"], prefillers
 
 
 @then("without prefillers each decode endpoint prefills one prompt at a time")
