--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -314,8 +314,8 @@
 def explained(context):
     decision = Decision("r", 55, "acme", 2)
     line = f"event=plan request=r do=MemoryRefusal(request_id='r'){_format_share(decision)}"
-    refusal = "event=refuse request=r status=503 reason=memory-full"
-    story = read_stories([line, refusal])["r"]
+    rejection = "event=refuse request=r status=503 reason=memory-full"
+    story = read_stories([line, rejection])["r"]
     assert (story.organisation, story.excess) == ("acme", 2)
     assert story.cause == "memory-full, planned, organisation beyond its share", story.cause
     assert _format_share(Decision("r", 55, "", 0)) == ""
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -176,7 +176,7 @@
             plan, ask(f"new{index}", in_time_ms=FIRST_REJECTION_MS), {"d0": "z"}, START_MS + 10
         )
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + FIRST_REJECTION_MS)
-    times = [refusal.retry_after_ms for refusal in rejected(replies)]
+    times = [rejection.retry_after_ms for rejection in rejected(replies)]
     assert len(times) == 4 and times == sorted(times), times
     assert times[0] >= RETRY_AFTER_LEAST_MS
 
@@ -215,7 +215,7 @@
     plan.runs["old"] = runs.Run("d0", "n1", taken, 10, 10, START_MS)
     core.step(plan, ask("a", 5000, 500), {"d0": "z"}, START_MS)
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + FIRST_REJECTION_MS)
-    assert [refusal.request_id for refusal in rejected(replies)] == ["a"], replies
+    assert [rejection.request_id for rejection in rejected(replies)] == ["a"], replies
 
 
 @then("memory is granted at the rate of prefill, the earliest deadline first")
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -219,7 +219,9 @@
 
 
 def tick_rejections(plan, now_ms):
-    return [refusal.request_id for refusal in rejected(core.step(plan, core.Tick(), D0, now_ms))]
+    return [
+        rejection.request_id for rejection in rejected(core.step(plan, core.Tick(), D0, now_ms))
+    ]
 
 
 @given("a full plan with requests of several priorities")
@@ -276,7 +278,7 @@
     core.step(plan, late, D0, START_MS + FIRST_REJECTION_MS)
     (urgent,) = rejected(core.step(plan, core.Tick(), D0, START_MS + 2 * FIRST_REJECTION_MS))
     assert len(before) == 20
-    assert urgent.retry_after_ms < max(refusal.retry_after_ms for refusal in before)
+    assert urgent.retry_after_ms < max(rejection.retry_after_ms for rejection in before)
 
 
 @then("half a minute after the last request of other priorities they have no effect")
