--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -20,7 +20,7 @@
 class Waiter:
     """A request that waits for memory; times are those of the planner's own clock.
 
-    `decided` says that it is not rejected any more.
+    Once `decided`, it is not rejected any more.
     """
 
     ask: MemoryAsk
--- a/saffronworks/tests/features/memory.feature
+++ b/saffronworks/tests/features/memory.feature
@@ -58,9 +58,9 @@
 
   Scenario: a new or resumed planner does not plan before it has all reports
     Given a planner that receives its first request
-    Then it answers that requests go on without it until the warm-up is over
+    Then until the warm-up is over it lets requests go on without it
     And it plans as soon as each node has reported, with or without runs
-    And requests that wait for the report of a lost node go on without the planner soon
+    And requests that wait for the report of a lost node go on without the planner after a moment
     And after a suspension it warms up again
 
   Scenario: a standby planner learns of the end of runs from reports
--- a/saffronworks/tests/features/speeds.feature
+++ b/saffronworks/tests/features/speeds.feature
@@ -23,8 +23,8 @@
     Given a planner that has learnt that an endpoint is slow
     Then another start of the endpoint begins with the average
     And without samples its speed returns to the average
-    And a planner that starts anew begins with the average and learns it from reports
-    And few log lines a second report changes, with a count and a sample each
+    And a new planner begins with the average and learns speeds from reports
+    And at most a few log lines a second report speed changes, with a count and a sample each
 
   Scenario: reports with implausible values
     Then for any numbers in reports and releases, speeds stay within bounds
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -340,7 +340,7 @@
     return type(replies[0].message)
 
 
-@then("it answers that requests go on without it until the warm-up is over")
+@then("until the warm-up is over it lets requests go on without it")
 def goes_on_without_plan(context):
     assert answer_to(context.plan, "a", START_MS) is messages.MemoryDirect
     assert answer_to(context.plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryDirect
@@ -367,7 +367,7 @@
     assert answer_to(plan, "b", START_MS + WARM_UP_MS - 1) is messages.MemoryGrant
 
 
-@then("requests that wait for the report of a lost node go on without the planner soon")
+@then("requests that wait for the report of a lost node go on without the planner after a moment")
 def lost_node(context):
     plan = core.PlanState(START_MS, CAPACITY, SLOTS, "s", "n1:1", nodes=("n1:1", "n2:1"))
     core.step(plan, ask("a"), {"d0": "z"}, START_MS)
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -216,7 +216,7 @@
     assert factors == sorted(factors, reverse=True) and factors[-1] == 1.0, factors
 
 
-@then("a planner that starts anew begins with the average and learns it from reports")
+@then("a new planner begins with the average and learns speeds from reports")
 def learns_from_reports(context):
     plan, runs = warm_plan(), {}
     for turn in range(10):
@@ -229,7 +229,7 @@
     assert plan.speeds.factor("d1", START_MS + 3600) > 1.1
 
 
-@then("few log lines a second report changes, with a count and a sample each")
+@then("at most a few log lines a second report speed changes, with a count and a sample each")
 def few_lines(context):
     plan, figures = warm_plan(), Figures("n")
     planner = MemoryPlanner(Mock(), Mock(), Mock(), "n", figures)
--- a/saffronworks/tests/planner_load.py
+++ b/saffronworks/tests/planner_load.py
@@ -37,7 +37,7 @@
 CALL_MS = 8
 # Time that entry nodes assume from a grant to the first event.
 GRANT_TO_EVENT_MS = 400
-# Standard deviation of the logarithm of length to hint.
+# Standard deviation of the logarithm of the ratio of hint to length.
 HINT_ERROR = 0.5
 # Callers leave without an event for this time.
 PATIENCE_MS = 3000
