--- a/saffronworks/tests/features/memory.feature
+++ b/saffronworks/tests/features/memory.feature
@@ -15,7 +15,7 @@
     And requests forecast too late are rejected, with ever longer retry delays
     And a late retry is not rejected
 
-  Scenario: no memory is granted while the prompt would wait long for its prefill
+  Scenario: no place is granted whose prompt would wait long for its reading
     Given a plan with free memory and a single prefiller
     Then memory is granted at the rate of prefill, the earliest deadline first
     And a request that fits is not rejected while its prefill is forecast in time
