--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -65,7 +65,7 @@
 LOCAL_PREFILL_GAP_MS = 150
 # While there are prefillers, a local prefill may raise the forecast peak of its endpoint to this
 # share of the planned memory at most. The other runs stand still and hold their memory for longer:
-# nine runs for 94 ms lose a third of a run's time, which costs nothing while nobody waits.
+# nine runs that stop for 94 ms lose a third of a run's time. That is free while nobody waits.
 LOCAL_PREFILL_MEMORY_SHARE = 0.7
 # Time from a grant to the first event while prefillers have MAX_PREFILL_BACKLOG_MS to do.
 FIRST_EVENT_MS = 400
@@ -74,7 +74,7 @@
 HINT_ERROR = 0.45
 # Number of latest answers that hints are compared with, ten seconds of a busy service.
 LENGTH_SAMPLES = 200
-# A run that is longer than all of those is expected to grow by this share of its present length.
+# A run longer than all sampled answers is expected to grow by this share of its present length.
 OVERRUN_SHARE = 0.3
 # Forecast peaks leave room for this many answers of mean length, since some grow longer than
 # expected, and a preempted run loses its prompt and mostly misses its target. Room for three
@@ -108,8 +108,8 @@
 # With several priorities a first rejection is sent after this share of the target, if that is
 # earlier than `FIRST_REJECTION_MS`.
 FIRST_REJECTION_SHARE = 1 / 8
-# How much longer an overload is expected to last; they last 3 to 10 s. Without this limit callers
-# of a short burst are rejected that would still be served.
+# How much longer an overload is expected to last; overloads last 3 to 10 s. Without this limit
+# callers of a short burst are rejected that would still be served.
 OVERLOAD_LASTS_MS = 2000
 # Limit of endpoints that are reserved for urgent waiters which fit on none, as a share of all.
 KEPT_SHARE = 0.25
