--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -219,9 +219,7 @@
 
 
 def tick_rejections(plan, now_ms):
-    return [
-        rejection.request_id for rejection in rejected(core.step(plan, core.Tick(), D0, now_ms))
-    ]
+    return [each.request_id for each in rejected(core.step(plan, core.Tick(), D0, now_ms))]
 
 
 @given("a full plan with requests of several priorities")
@@ -294,10 +292,7 @@
 
 
 def plan_with_room(rooms, urgent_priority=URGENT):
-    """Return a plan and its endpoints with this planned memory left, in tokens.
-
-    An urgent request for 30,000 tokens waits.
-    """
+    """Return a plan whose endpoints have `rooms` tokens left, while an urgent 30,000 wait."""
     plan, decoders = warm_plan(), {}
     for at_ms in range(START_MS - 5000, START_MS, 100):
         plan.order.rates.record(urgent_priority, at_ms)
