--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -294,7 +294,7 @@
 
 def _make_reserve(state: PlanState, now_ms: int) -> Reserve | None:
     """Return an empty reserve for this step; None while there is only one priority."""
-    if not state.order.rates.is_mixed(now_ms) or not state.runs:
+    if not state.order.rates.has_several_priorities(now_ms) or not state.runs:
         return None
     return Reserve(state.order.rates, 1000 / run_ends_per_s(state, now_ms), now_ms)
 
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -54,7 +54,7 @@
     of a burst waited and were late, which an early rejection would have had back in time; where
     memory is the bottleneck 10 instead of 4 (`planner_load`). Rejected waiters do not delay others.
     """
-    mixed = state.order.rates.is_mixed(now_ms)
+    mixed = state.order.rates.has_several_priorities(now_ms)
     if not any(_is_pending(waiter, mixed, now_ms) for waiter in state.waiters.values()):
         return []
     per_s, usable = run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
@@ -98,7 +98,7 @@
 
     The bound against starvation guarantees it one grant after every `max_passes` others.
     """
-    if not state.order.rates.is_mixed(now_ms):
+    if not state.order.rates.has_several_priorities(now_ms):
         return per_s
     max_passes = state.order.rates.max_passes(priority, now_ms)
     return max(per_s - state.order.rates.per_s(priority, now_ms), per_s / (max_passes + 1))
@@ -119,13 +119,16 @@
     faster than runs end.
     """
     left_per_s = per_s
-    if state.order.rates.is_mixed(now_ms):
+    if state.order.rates.has_several_priorities(now_ms):
         left_per_s -= state.order.rates.per_s(waiter.priority, now_ms)
     in_order_ms = 1000 * (ahead.total() + 1) / left_per_s if left_per_s > 0 else math.inf
     max_passes = state.order.rates.max_passes(waiter.priority, now_ms)
     in_turn_ms = 1000 * (ahead[waiter.priority] + 1) * (max_passes + 1) / per_s
     wait_ms = min(in_order_ms, max(in_turn_ms, 1000 * (ahead.total() + 1) / per_s))
-    if now_ms + wait_ms <= waiter.target_deadline_ms or not state.order.rates.is_mixed(now_ms):
+    if (
+        now_ms + wait_ms <= waiter.target_deadline_ms
+        or not state.order.rates.has_several_priorities(now_ms)
+    ):
         return wait_ms
     overloaded = state.order.rates.per_s(math.inf, now_ms) >= per_s
     return wait_ms + OVERLOAD_LASTS_MS if overloaded else wait_ms
@@ -152,7 +155,7 @@
     """Return the retry delay; retries are spread so that they take a share of the grants."""
     priority = waiter.priority
     earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
-    if state.order.rates.is_mixed(now_ms):
+    if state.order.rates.has_several_priorities(now_ms):
         earliest_ms = max(earliest_ms, grant_at_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
     next_ms = state.next_retry_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -45,7 +45,7 @@
         rate.last_request_ms = now_ms
         rate.count += 1
 
-    def is_mixed(self, now_ms: int) -> bool:
+    def has_several_priorities(self, now_ms: int) -> bool:
         """Return whether several priorities had recent requests; else they have no effect."""
         self._roll(now_ms)
         return len(self._rates) > 1
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -365,10 +365,12 @@
         if at_ms % 200 == 0:
             rates.record(BULK, at_ms)
     assert abs(rates.per_s(BULK, 10_000) - 20) < 2 and abs(rates.per_s(100, 10_000) - 25) < 2.5
-    assert rates.per_s(URGENT, 10_000) == 0 and rates.is_mixed(10_000)
+    assert rates.per_s(URGENT, 10_000) == 0 and rates.has_several_priorities(10_000)
     assert rates.per_s(100, 15_000) < 3
     rates.record(BULK, 15_000)
-    assert not rates.is_mixed(9950 + PRIORITY_LAPSE_MS + 1), "the last urgent request is too old"
+    assert not rates.has_several_priorities(9950 + PRIORITY_LAPSE_MS + 1), (
+        "the last urgent request is too old"
+    )
 
 
 @then("a priority out of range counts as the nearest valid one")
