--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -54,8 +54,10 @@
     of a burst waited and were late, which an early rejection would have had back in time; where
     memory is the bottleneck 10 instead of 4 (`planner_load`). Rejected waiters do not delay others.
     """
-    mixed = state.order.rates.has_several_priorities(now_ms)
-    if not any(_is_pending(waiter, mixed, now_ms) for waiter in state.waiters.values()):
+    several_priorities = state.order.rates.has_several_priorities(now_ms)
+    if not any(
+        _is_pending(waiter, several_priorities, now_ms) for waiter in state.waiters.values()
+    ):
         return []
     per_s, usable = run_ends_per_s(state, now_ms), state.occupancies(decoders, now_ms)
     local_prefillers = state.local_prefillers(usable)
@@ -65,7 +67,7 @@
         fits = state.best_fit(waiter.ask, usable) is not None
         memory_at_ms = now_ms + (0.0 if fits else _wait_ms(state, waiter, ahead, per_s, now_ms))
         grant_at_ms = max(prefill_at_ms, memory_at_ms)
-        if _must_reject(waiter, grant_at_ms, mixed, now_ms):
+        if _must_reject(waiter, grant_at_ms, several_priorities, now_ms):
             del state.waiters[waiter.ask.request_id]
             after_ms = _retry_after_ms(state, waiter, grant_at_ms, per_s, now_ms)
             rejection = MemoryRefusal(waiter.ask.request_id, after_ms)
@@ -76,19 +78,21 @@
     return replies
 
 
-def _is_pending(waiter: Waiter, mixed: bool, now_ms: int) -> bool:
+def _is_pending(waiter: Waiter, several_priorities: bool, now_ms: int) -> bool:
     """Return whether a waiter may be rejected now.
 
     With several priorities this holds from the first tick on, since a waiter's turn may come only
     after its caller has left.
     """
-    return not waiter.decided and (mixed or _is_due(waiter, mixed, now_ms))
+    return not waiter.decided and (
+        several_priorities or _is_due(waiter, several_priorities, now_ms)
+    )
 
 
-def _is_due(waiter: Waiter, mixed: bool, now_ms: int) -> bool:
+def _is_due(waiter: Waiter, several_priorities: bool, now_ms: int) -> bool:
     """Return whether a first rejection is due, so that the caller can retry in time."""
     after_ms: float = FIRST_REJECTION_MS
-    if mixed and waiter.ask.target_ms > 0:
+    if several_priorities and waiter.ask.target_ms > 0:
         after_ms = min(after_ms, FIRST_REJECTION_SHARE * waiter.ask.target_ms)
     return now_ms - waiter.arrived_ms >= after_ms
 
@@ -134,17 +138,17 @@
     return wait_ms + OVERLOAD_LASTS_MS if overloaded else wait_ms
 
 
-def _must_reject(waiter: Waiter, grant_at_ms: float, mixed: bool, now_ms: int) -> bool:
+def _must_reject(waiter: Waiter, grant_at_ms: float, several_priorities: bool, now_ms: int) -> bool:
     """Return whether a waiter's grant is forecast too late, and mark the waiter as decided.
 
     A retry is rejected at the first check or never: once it has waited, a late grant is worth more
     than a rejection.
     """
-    if not _is_pending(waiter, mixed, now_ms):
+    if not _is_pending(waiter, several_priorities, now_ms):
         return False
     returned = waiter.ask.returned
-    leaves_before = mixed and grant_at_ms > waiter.patience_deadline_ms
-    waiter.decided = returned or leaves_before or _is_due(waiter, mixed, now_ms)
+    leaves_before = several_priorities and grant_at_ms > waiter.patience_deadline_ms
+    waiter.decided = returned or leaves_before or _is_due(waiter, several_priorities, now_ms)
     late = waiter.decided and not returned and grant_at_ms > waiter.target_deadline_ms
     return leaves_before or late
 
