--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -37,10 +37,10 @@
 
 def _relative_speed(state: PlanState, now_ms: int) -> float:
     """Return the mean speed of the runs' endpoints, relative to the service's average."""
-    usual_ms = state.ms_per_token
+    average_ms = state.ms_per_token
     runs = Counter(run.instance for run in state.runs.values())
     paces = (
-        count * (usual_ms / state.speeds.ms_per_token(name, usual_ms, now_ms))
+        count * (average_ms / state.speeds.ms_per_token(name, average_ms, now_ms))
         for name, count in runs.items()
     )
     return sum(paces) / runs.total()
--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -101,13 +101,13 @@
         factor = _decayed_factor(speed, now_ms)
         return factor ** _certainty(factor)
 
-    def ms_per_token(self, instance: StartId, usual_ms: float, now_ms: int) -> float:
+    def ms_per_token(self, instance: StartId, average_ms: float, now_ms: int) -> float:
         """Return an endpoint's time per token; `usual_ms` is the service's average."""
         speed = self._speeds.get(instance)
         certainty = _certainty(_decayed_factor(speed, now_ms)) if speed else 0.0
         if speed is None or not certainty:
-            return usual_ms
-        return usual_ms * (speed.ms_per_token / usual_ms) ** certainty
+            return average_ms
+        return average_ms * (speed.ms_per_token / average_ms) ** certainty
 
     def count_runs(self, instances: Iterable[StartId], now_ms: int) -> None:
         """Update the number of runs of each endpoint, at most every `COUNT_RUNS_EVERY_MS`."""
