--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -54,8 +54,8 @@
 
     def wait_ms(self, decoders: Iterable[StartId], now_ms: int) -> float:
         """Return the time until a prompt can be granted to a prefiller or one of `decoders`."""
-        own_ms = min((self.backlog_ms(name, now_ms) for name in decoders), default=math.inf)
-        return min(self._prefillers_wait_ms(now_ms), own_ms)
+        local_ms = min((self.backlog_ms(name, now_ms) for name in decoders), default=math.inf)
+        return min(self._prefillers_wait_ms(now_ms), local_ms)
 
     def _prefillers_wait_ms(self, now_ms: int) -> float:
         """Return the time until a backlog is within the limit; infinite without prefillers."""
