--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -91,12 +91,12 @@
     def forecast(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
         """Return waiters in the order of their grants if each fits when its turn comes."""
         queues, late = self._split(waiters, now_ms)
-        passes, turns = dict(self.passes), []
+        passes, order = dict(self.passes), []
         while queues:
             due = self._due(passes, queues, now_ms)
-            turns.append(_pop(queues, min(queues) if due is None else due))
-            _count_grant(passes, turns[-1].priority, queues)
-        return [*turns, *late]
+            order.append(_pop(queues, min(queues) if due is None else due))
+            _count_grant(passes, order[-1].priority, queues)
+        return [*order, *late]
 
     def record_grant(self, granted: Waiter, waiters: Iterable[Waiter], now_ms: int) -> None:
         """Count a grant; `waiters` are those that still wait."""
