--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -148,13 +148,13 @@
         """
         limit = share * self.limit_tokens
         more = self.lengths.more_tokens(0.0, ask.likely_tokens, ask.most_tokens)
-        own = (float(ask.prompt_tokens), more)
+        new_run = (float(ask.prompt_tokens), more)
         fitting: list[tuple[float, StartId]] = []
         for instance, present in usable.items():
             full = len(present.growths) >= self.slots
             if instance in ask.avoid or full or not present.may_fit(ask.prompt_tokens, limit):
                 continue
-            peak = projected_peak([*present.growths, own])
+            peak = projected_peak([*present.growths, new_run])
             if peak <= limit or not present.growths:
                 fitting.append((peak, instance))
         if not fitting:
