--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -150,12 +150,12 @@
         more = self.lengths.more_tokens(0.0, ask.likely_tokens, ask.most_tokens)
         new_run = (float(ask.prompt_tokens), more)
         fitting: list[tuple[float, StartId]] = []
-        for instance, present in usable.items():
-            full = len(present.growths) >= self.slots
-            if instance in ask.avoid or full or not present.may_fit(ask.prompt_tokens, limit):
+        for instance, occupancy in usable.items():
+            full = len(occupancy.growths) >= self.slots
+            if instance in ask.avoid or full or not occupancy.may_fit(ask.prompt_tokens, limit):
                 continue
-            peak = projected_peak([*present.growths, new_run])
-            if peak <= limit or not present.growths:
+            peak = projected_peak([*occupancy.growths, new_run])
+            if peak <= limit or not occupancy.growths:
                 fitting.append((peak, instance))
         if not fitting:
             return None
