--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -84,7 +84,7 @@
     check()
 
 
-MOVES = st.lists(
+EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["ask", "ask", "ask", "release", "wait"]),
         st.integers(200, 12_000),
@@ -96,7 +96,7 @@
 
 @then("for any requests, releases and ticks, forecast peaks leave the margin free")
 def peaks_within_margin(context):
-    @forall(MOVES)
+    @forall(EVENTS)
     def check(moves):
         plan, now_ms, last = warm_plan(), START_MS, 0
         for what, prompt, likely in moves:
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -29,7 +29,7 @@
 from saffronworks.tests.plan_reference import without_priorities
 
 DECODERS = {"d0": "z", "d1": "z"}
-MOVES = st.lists(
+EVENTS = st.lists(
     st.tuples(
         st.sampled_from(["ask", "ask", "ask", "ask", "release", "report", "wait", "wait"]),
         st.integers(0, 80),
@@ -77,7 +77,7 @@
     decided = set()
 
     @settings(max_examples=300, deadline=None)
-    @forall(MOVES, st.integers(0, 99))
+    @forall(EVENTS, st.integers(0, 99))
     def check(moves, priority):
         with without_priorities():
             expected = run_events(moves, priority)
