--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -97,9 +97,9 @@
 @then("for any requests, releases and ticks, forecast peaks leave the margin free")
 def peaks_within_margin(context):
     @forall(EVENTS)
-    def check(moves):
+    def check(events):
         plan, now_ms, last = warm_plan(), START_MS, 0
-        for what, prompt, likely in moves:
+        for what, prompt, likely in events:
             now_ms += 5
             match what:
                 case "ask":
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -42,11 +42,11 @@
 )
 
 
-def run_events(moves, priority):
+def run_events(events, priority):
     """Return the replies to a sequence of events, and the waiters at its end."""
     plan, now_ms, replies, asked = warm_plan(), START_MS, [], 0
     plan.capacity_tokens, plan.prefill.prefillers = 20_000, {"p0": "z"}
-    for what, span_ms, tokens, in_time_ms, returned in moves:
+    for what, span_ms, tokens, in_time_ms, returned in events:
         now_ms += span_ms
         match what:
             case "ask":
@@ -78,10 +78,10 @@
 
     @settings(max_examples=300, deadline=None)
     @forall(EVENTS, st.integers(0, 99))
-    def check(moves, priority):
+    def check(events, priority):
         with without_priorities():
-            expected = run_events(moves, priority)
-        assert run_events(moves, priority) == expected
+            expected = run_events(events, priority)
+        assert run_events(events, priority) == expected
         decided.update(type(reply.message) for step in expected[0] for reply in step)
 
     check()
