--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -99,9 +99,9 @@
     @forall(EVENTS)
     def check(events):
         plan, now_ms, last = warm_plan(), START_MS, 0
-        for what, prompt, likely in events:
+        for kind, prompt, likely in events:
             now_ms += 5
-            match what:
+            match kind:
                 case "ask":
                     last += 1
                     event = ask(f"r{last}", prompt, likely)
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -46,9 +46,9 @@
     """Return the replies to a sequence of events, and the waiters at its end."""
     plan, now_ms, replies, asked = warm_plan(), START_MS, [], 0
     plan.capacity_tokens, plan.prefill.prefillers = 20_000, {"p0": "z"}
-    for what, span_ms, tokens, in_time_ms, returned in events:
+    for kind, span_ms, tokens, in_time_ms, returned in events:
         now_ms += span_ms
-        match what:
+        match kind:
             case "ask":
                 asked += 1
                 event = ask(
