--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -102,7 +102,7 @@
         return factor ** _certainty(factor)
 
     def ms_per_token(self, instance: StartId, average_ms: float, now_ms: int) -> float:
-        """Return an endpoint's time per token; `usual_ms` is the service's average."""
+        """Return an endpoint's time per token; `average_ms` is the service's average."""
         speed = self._speeds.get(instance)
         certainty = _certainty(_decayed_factor(speed, now_ms)) if speed else 0.0
         if speed is None or not certainty:
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -29,8 +29,8 @@
     def factor(self, instance, now_ms):
         return 1.0
 
-    def ms_per_token(self, instance, usual_ms, now_ms):
-        return usual_ms
+    def ms_per_token(self, instance, average_ms, now_ms):
+        return average_ms
 
 
 class PlanWithoutSpeeds(core.PlanState):
