--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -406,10 +406,10 @@
 @then("a grant that is newer than a report still counts")
 def newer_than_report(context):
     decoders, now_ms = {"d0": "z"}, context.now_ms
-    assert granted(core.step(context.plan, ask("newer"), decoders, now_ms))
+    assert granted(core.step(context.plan, ask("crossed"), decoders, now_ms))
     core.step(context.plan, report("n1", "short4"), decoders, now_ms + 1)
-    assert set(context.plan.runs) == {"newer", "short4"}, context.plan.runs
-    core.step(context.plan, report("n1", "newer"), decoders, now_ms + REPORT_EVERY_MS)
+    assert set(context.plan.runs) == {"crossed", "short4"}, context.plan.runs
+    core.step(context.plan, report("n1", "crossed"), decoders, now_ms + REPORT_EVERY_MS)
     core.step(context.plan, report("n1", "short5"), decoders, now_ms + 2 * REPORT_EVERY_MS)
     assert set(context.plan.runs) == {"short5"}, "the report without the run ends it"
 
