--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -87,12 +87,12 @@
     pools: Pools,
     budget: RetryBudget,
     now_ms: int,
-    barred: Refuse | None = None,
+    denial: Refuse | None = None,
 ) -> Command:
     """The next command; `barred`: no endpoint is to get the request any more, and why."""
     result = _advance(state, event, pools, budget, now_ms)
-    if barred is not None and isinstance(result, Seek):
-        result = _GiveUp(barred)
+    if denial is not None and isinstance(result, Seek):
+        result = _GiveUp(denial)
     if state.begun:
         return _after_first_byte(result)
     return _before_first_byte(state, result)
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -121,8 +121,8 @@
             self._state.arrived_ms,
             now_ms,
         )
-        barred = node.barred(self._job, self._trial_began)
-        command = generation_core.step(self._state, event, pools, node.budget, now_ms, barred)
+        denial = node.denial(self._job, self._trial_began)
+        command = generation_core.step(self._state, event, pools, node.budget, now_ms, denial)
         if not isinstance(command, events.Wait | events.AskHold):
             self._log_decision(event, command, pools, begun, now_ms)
         return command
--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -146,7 +146,7 @@
     ranked: list[ServiceEndpoint],
     budget: RetryBudget,
     now_ms: int,
-    barred: Refuse | None = None,
+    denial: Refuse | None = None,
     eligibility: Eligibility = ALL_ELIGIBLE,
 ) -> Command:
     """The next command; `ranked` lists the usable endpoints, best first.
@@ -156,11 +156,11 @@
     """
     permitted = event.instance if isinstance(event, Permitted) else None
     command = _advance(state, event, _Choice(ranked, eligibility, budget, permitted), now_ms)
-    if barred is None or not isinstance(command, SendTo | AcquirePermit):
+    if denial is None or not isinstance(command, SendTo | AcquirePermit):
         return command
-    if state.runs and barred.not_run:
-        return Refuse(502, barred.reason, not_run=False)
-    return barred
+    if state.runs and denial.not_run:
+        return Refuse(502, denial.reason, not_run=False)
+    return denial
 
 
 def _advance(state: PlainState, event: Event, choice: _Choice, now_ms: int) -> Command:
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -97,9 +97,9 @@
         node, now_ms = self._node, self._node.now_ms()
         usable = node.eligibility.usable(self._job.service, self._job.request.arrived_ms)
         ranked = node.loads.rank(usable, now_ms)
-        barred, eligibility = node.barred(self._job), node.eligibility.among(usable)
+        denial, eligibility = node.denial(self._job), node.eligibility.among(usable)
         command = plain_core.step(
-            self._state, event, ranked, node.budget, now_ms, barred, eligibility
+            self._state, event, ranked, node.budget, now_ms, denial, eligibility
         )
         if isinstance(command, SendTo):
             logger.info(
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -69,7 +69,7 @@
     def _make_unbounded(self) -> AnswerBuffers:
         return AnswerBuffers(None, self.figures, self.now_ms)
 
-    def barred(self, job: "Job", trial_began: bool = False) -> Refuse | None:
+    def denial(self, job: "Job", trial_began: bool = False) -> Refuse | None:
         """Why a request under way is to be sent to no endpoint any more; None while it may be."""
         if not self.identities.holds(job.request, job.route):
             return KEY_TAKEN_AWAY
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -379,14 +379,14 @@
         for may_repeat in (False, True):
             state = generation(may_repeat)
             state.hold = HOLD
-            command = generation_step(state, event, POOLS, wide_budget(), 10, barred=ENDS_ENDPOINTS)
+            command = generation_step(state, event, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS)
             assert not isinstance(command, gen.Seek), (event, command)
             refusals += command == ENDS_ENDPOINTS
     assert refusals > len(GENERATION_EVENTS), refusals
     begun = generation(may_repeat=True)
     begun.hold, begun.out = HOLD, Out.STREAM
     lost = gen.RelayBroken(POOLS.decoders[0].instance, known=True)
-    assert generation_step(begun, lost, POOLS, wide_budget(), 10, barred=ENDS_ENDPOINTS) == gen.Cut(
+    assert generation_step(begun, lost, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS) == gen.Cut(
         "ends-endpoints"
     )
 
@@ -402,6 +402,6 @@
         for event in events:
             state = plain_core.PlainState("s", True, 3, 900, 5000)
             command = plain_core.step(
-                state, event, ranked, wide_budget(), 10, barred=ENDS_ENDPOINTS
+                state, event, ranked, wide_budget(), 10, denial=ENDS_ENDPOINTS
             )
             assert not isinstance(command, plain_core.SendTo), (event, command)
