--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -36,7 +36,7 @@
     Wait,
     Waited,
 )
-from saffronworks.forwarding.generation_state import GenerationState, Out, Pools
+from saffronworks.forwarding.generation_state import Delivered, GenerationState, Pools
 from saffronworks.forwarding.messages import (
     AnswerHead,
     Begin,
@@ -102,10 +102,10 @@
     """Nothing is out: the caller gets the head of a stream, of a failure, or our own answer."""
     match result:
         case _Serve(head):
-            state.out = Out.STREAM
+            state.delivered = Delivered.STREAM
             return StartStream(head)
         case _GiveUp(_, AnswerHead() as failure):
-            state.out = Out.FAILURE
+            state.delivered = Delivered.FAILURE
             return RelayFailure(failure)
         case _GiveUp(refusal) if state.runs and refusal.not_run:
             return Refuse(502, refusal.reason, not_run=False)
@@ -201,7 +201,7 @@
             return _redirect(state, pools, now_ms, "endpoint-leaves")
         case RelayBroken(instance, known):
             state.note_broken(instance)
-            if state.out is Out.FAILURE:
+            if state.delivered is Delivered.FAILURE:
                 return _broken()
             if not known:
                 return _GiveUp(Refuse(502, "no-event-id", not_run=False))
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -20,7 +20,7 @@
     RETURNED_PATIENCE_SHARE,
 )
 
-__all__ = ["GenerationState", "Out", "Pools", "planned_tokens", "reserve_tokens"]
+__all__ = ["GenerationState", "Delivered", "Pools", "planned_tokens", "reserve_tokens"]
 
 
 def planned_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
@@ -54,7 +54,7 @@
         return found if len(found) == len(self.decoders) else []
 
 
-class Out(enum.Enum):
+class Delivered(enum.Enum):
     """What of an answer the caller has; it never goes back."""
 
     NOTHING = enum.auto()
@@ -88,7 +88,7 @@
     redirects: int = 0
     reads: int = 0
     streams: int = 0
-    out: Out = Out.NOTHING
+    delivered: Delivered = Delivered.NOTHING
     planned_tokens: int = 0
     plans_left: int = MOST_PLANS
     granted: StartId | None = None
@@ -113,7 +113,7 @@
     @property
     def begun(self) -> bool:
         """Whether the caller has the start of an answer."""
-        return self.out is not Out.NOTHING
+        return self.delivered is not Delivered.NOTHING
 
     @property
     def gives_up_at_ms(self) -> float:
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.event_streams import EventCutter, EventSequence
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
-from saffronworks.forwarding.generation_state import Out
+from saffronworks.forwarding.generation_state import Delivered
 from saffronworks.forwarding.messages import CallerRequest, KvHold, Refuse
 from saffronworks.forwarding.places import StreamPace
 from saffronworks.forwarding.routing import Route
@@ -163,7 +163,7 @@
     route = Route("res", "h", "/res/", (), False, True, True, 3000, 400, 2)
     job = Job(request, route, "llm", SimpleNamespace(finished=False), 1)
     state = generation(may_repeat=True)
-    state.out = Out.STREAM
+    state.delivered = Delivered.STREAM
     context.relay = StreamRelay(node, job, state, 64)
 
     async def play():
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_core import step as generation_step
-from saffronworks.forwarding.generation_state import Out
+from saffronworks.forwarding.generation_state import Delivered
 from saffronworks.forwarding.identity import Identities
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
@@ -384,7 +384,7 @@
             refusals += command == ENDS_ENDPOINTS
     assert refusals > len(GENERATION_EVENTS), refusals
     begun = generation(may_repeat=True)
-    begun.hold, begun.out = HOLD, Out.STREAM
+    begun.hold, begun.delivered = HOLD, Delivered.STREAM
     lost = gen.RelayBroken(POOLS.decoders[0].instance, known=True)
     assert generation_step(begun, lost, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS) == gen.Cut(
         "ends-endpoints"
