--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -93,7 +93,7 @@
     result = _advance(state, event, pools, budget, now_ms)
     if denial is not None and isinstance(result, Seek):
         result = _GiveUp(denial)
-    if state.begun:
+    if state.answer_started:
         return _after_first_byte(result)
     return _before_first_byte(state, result)
 
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -112,7 +112,7 @@
             self._give_up_place()
 
     def _decide(self, event: events.Event) -> events.Command:
-        node, now_ms, begun = self._node, self._node.now_ms(), self._state.begun
+        node, now_ms, begun = self._node, self._node.now_ms(), self._state.answer_started
         pools = rank_pools(
             node.eligibility,
             node.loads,
@@ -188,7 +188,7 @@
 
     async def _ask_planner(self, command: events.AskPlanner) -> events.Event:
         self._leave_place()
-        returned = self._state.returned or self._state.begun
+        returned = self._state.returned or self._state.answer_started
         return await self._place.ask_planner(command, returned)
 
     async def _ask_hold(self, command: events.AskHold) -> events.Event:
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -111,14 +111,14 @@
         return broken
 
     @property
-    def begun(self) -> bool:
+    def answer_started(self) -> bool:
         """Whether the caller has the start of an answer."""
         return self.delivered is not Delivered.NOTHING
 
     @property
     def gives_up_at_ms(self) -> float:
         """When waiting for memory has no more use, as the caller is about to leave."""
-        if self.begun:
+        if self.answer_started:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
         gives_up_ms = min(self.gives_up_ms, self.deadline_at_ms - self.arrived_ms)
         return self.arrived_ms + RETURNED_PATIENCE_SHARE * gives_up_ms
@@ -126,6 +126,6 @@
     @property
     def patience_until_ms(self) -> float:
         """Until when a request that finds no memory waits for it."""
-        if self.begun or self.returned:
+        if self.answer_started or self.returned:
             return self.gives_up_at_ms
         return self.arrived_ms + PATIENCE_SHARE * self.target_ms
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -50,7 +50,7 @@
         state, now_ms = self._state, self._node.now_ms()
         first = await run.read_first(max(1, state.deadline_at_ms - now_ms))
         self._pace_from = None
-        if state.begun or (state.may_repeat and self.last_event is not None):
+        if state.answer_started or (state.may_repeat and self.last_event is not None):
             self._require_follows(run, first, status)
         if first is not None and first.ids:
             self._pace_from = (first.ids[-1], self._node.now_ms())
