--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -9,7 +9,6 @@
 import attrs
 
 from saffronworks.forwarding.generation_events import (
-    AskHold,
     AskPlanner,
     Command,
     ContinueStream,
@@ -33,6 +32,7 @@
     StreamAnswered,
     StreamBroken,
     StreamWithheld,
+    TakeHold,
     Wait,
     Waited,
 )
@@ -235,7 +235,7 @@
     if place is None:
         state.granted = None
         return _ask(state, pools, now_ms)
-    return AskHold(place, state.planned_tokens, 0, _hold_ms(state, now_ms))
+    return TakeHold(place, state.planned_tokens, 0, _hold_ms(state, now_ms))
 
 
 def _ask(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
@@ -247,7 +247,7 @@
             continue
         if endpoint.instance not in state.asked | state.failed:
             ttl_ms = _hold_ms(state, now_ms)
-            return AskHold(endpoint, state.tokens, state.headroom_tokens, ttl_ms)
+            return TakeHold(endpoint, state.tokens, state.headroom_tokens, ttl_ms)
     if blocks := pools.decoder_blocks:
         refusal = refuse_blocked(blocks)
         if now_ms + refusal.not_before_ms >= state.patience_until_ms:
--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.starts import StartId
 
 __all__ = [
-    "AskHold",
+    "TakeHold",
     "AskPlanner",
     "Command",
     "ContinueStream",
@@ -138,7 +138,7 @@
 
 
 @attrs.frozen
-class AskHold:
+class TakeHold:
     """Reserve memory at this endpoint, if the headroom is free there too."""
 
     endpoint: ServiceEndpoint
@@ -211,7 +211,7 @@
     | RelayBroken
 )
 # On the way to a run; legal at any time.
-Seek = AskPlanner | AskHold | ReadPrompt | OpenStream | Wait
+Seek = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
 # Legal only while nothing of an answer is out: each sends a head.
 Opening = Refuse | StartStream | RelayFailure
 # Legal only once a stream is out: none sends a head, and nothing but its own events goes on.
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -123,7 +123,7 @@
         )
         denial = node.denial(self._job, self._trial_began)
         command = generation_core.step(self._state, event, pools, node.budget, now_ms, denial)
-        if not isinstance(command, events.Wait | events.AskHold):
+        if not isinstance(command, events.Wait | events.TakeHold):
             self._log_decision(event, command, pools, begun, now_ms)
         return command
 
@@ -163,7 +163,7 @@
         match command:
             case events.AskPlanner():
                 return await self._ask_planner(command)
-            case events.AskHold():
+            case events.TakeHold():
                 return await self._ask_hold(command)
             case events.ReadPrompt(endpoint, timeout_ms):
                 return await self._read_prompt(endpoint, timeout_ms)
@@ -191,7 +191,7 @@
         returned = self._state.returned or self._state.answer_started
         return await self._place.ask_planner(command, returned)
 
-    async def _ask_hold(self, command: events.AskHold) -> events.Event:
+    async def _ask_hold(self, command: events.TakeHold) -> events.Event:
         self._leave_place()
         try:
             return await self._place.reserve(command)
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -100,7 +100,7 @@
                 return events.PlanRefused(retry_after_ms)
         return events.PlanSilent()
 
-    async def reserve(self, command: events.AskHold) -> events.Event:
+    async def reserve(self, command: events.TakeHold) -> events.Event:
         """Reserve memory at an endpoint; raises Break when it gives no answer."""
         endpoint, request_id = command.endpoint, self.job.request.request_id
         permit = await self.node.limits.acquire_permit(endpoint, request_id, PLACE_CALLS)
@@ -129,7 +129,7 @@
         return events.HoldTaken(hold.ok_value)
 
     async def _take_beside_headroom(
-        self, command: events.AskHold, limited: bool
+        self, command: events.TakeHold, limited: bool
     ) -> Result[KvHold, NotExecuted]:
         """The headroom is reserved first, to see that it is there, and given back at once."""
         calls, endpoint, now_ms = self.node.calls, command.endpoint, self.node.now_ms
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -17,7 +17,6 @@
 from saffronworks.forwarding.eligibility.table import KEEP_GONE_MS, AdvertisedTable
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit
 from saffronworks.forwarding.generation_events import (
-    AskHold,
     AskPlanner,
     HoldTaken,
     OpenStream,
@@ -26,6 +25,7 @@
     ReadPrompt,
     StreamAnswered,
     StreamWithheld,
+    TakeHold,
     Wait,
 )
 from saffronworks.forwarding.generation_state import GenerationState, Pools
@@ -319,7 +319,7 @@
     ask = generation_core.step(state, Begin(), pools, budget, 0)
     assert isinstance(ask, AskPlanner) and set(ask.avoid) == {"d0", "p0"}
     hold = generation_core.step(state, PlanSilent(), pools, budget, 0)
-    assert isinstance(hold, AskHold) and hold.endpoint.instance == "d1"
+    assert isinstance(hold, TakeHold) and hold.endpoint.instance == "d1"
     taken = HoldTaken(KvHold(decoders[1], "h", 2000))
     read = generation_core.step(state, taken, pools, budget, 0)
     assert isinstance(read, ReadPrompt) and read.endpoint.instance == "p1"
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -56,7 +56,7 @@
             assert head == getattr(command, "head", head), (command, head)
             relayed.append(head)
         match command:
-            case gen.AskHold(endpoint):
+            case gen.TakeHold(endpoint):
                 event = gen.HoldTaken(KvHold(endpoint, "k", now_ms + 2000))
             case gen.ReadPrompt(endpoint):
                 event = gen.PromptRead(KvHandle(endpoint, "h", 5000))
--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -186,7 +186,7 @@
             case gen.Wait(pause_ms):
                 now_ms += pause_ms
                 event = gen.Waited()
-            case gen.AskPlanner() | gen.AskHold() | gen.ReadPrompt():
+            case gen.AskPlanner() | gen.TakeHold() | gen.ReadPrompt():
                 event = _place_event(command, turn, now_ms)
             case _:
                 # Once an answer began, its status is what the caller was told.
@@ -217,9 +217,9 @@
             return gen.PlanGranted("d0", "p0" if turn.known else "d0")
         case gen.AskPlanner():
             return gen.PlanRefused(900) if turn.known else gen.PlanSilent()
-        case gen.AskHold(endpoint) if turn.granted:
+        case gen.TakeHold(endpoint) if turn.granted:
             return gen.HoldTaken(KvHold(endpoint, "k", now_ms + 2000))
-        case gen.AskHold(endpoint):
+        case gen.TakeHold(endpoint):
             return gen.HoldFailed(endpoint.instance, turn.breaks)
         case gen.ReadPrompt(endpoint) if turn.granted:
             return gen.PromptRead(KvHandle(endpoint, "h", 5000))
