--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -10,6 +10,7 @@
 
 from saffronworks.forwarding.generation_events import (
     AskPlanner,
+    AttemptCommand,
     Command,
     ContinueStream,
     Cut,
@@ -27,7 +28,6 @@
     ReadPrompt,
     RelayBroken,
     RelayFailure,
-    Seek,
     StartStream,
     StreamAnswered,
     StreamBroken,
@@ -78,7 +78,7 @@
 
 
 # What is to be done, whatever the caller has by now.
-_Result = Seek | _Serve | _GiveUp
+_Result = AttemptCommand | _Serve | _GiveUp
 
 
 def step(
@@ -91,14 +91,14 @@
 ) -> Command:
     """The next command; `barred`: no endpoint is to get the request any more, and why."""
     result = _advance(state, event, pools, budget, now_ms)
-    if denial is not None and isinstance(result, Seek):
+    if denial is not None and isinstance(result, AttemptCommand):
         result = _GiveUp(denial)
     if state.answer_started:
         return _after_first_byte(result)
     return _before_first_byte(state, result)
 
 
-def _before_first_byte(state: GenerationState, result: _Result) -> Seek | Opening:
+def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | Opening:
     """Nothing is out: the caller gets the head of a stream, of a failure, or our own answer."""
     match result:
         case _Serve(head):
@@ -114,7 +114,7 @@
     return result
 
 
-def _after_first_byte(result: _Result) -> Seek | Following:
+def _after_first_byte(result: _Result) -> AttemptCommand | Following:
     """An answer is out: only events that follow, or a cut, tell the caller the truth.
 
     Neither our own answer nor an endpoint's failure can be told any more: its bytes would stand
--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -26,7 +26,7 @@
     "ReadPrompt",
     "RelayBroken",
     "RelayFailure",
-    "Seek",
+    "AttemptCommand",
     "StartStream",
     "StreamAnswered",
     "StreamBroken",
@@ -211,9 +211,9 @@
     | RelayBroken
 )
 # On the way to a run; legal at any time.
-Seek = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
+AttemptCommand = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
 # Legal only while nothing of an answer is out: each sends a head.
 Opening = Refuse | StartStream | RelayFailure
 # Legal only once a stream is out: none sends a head, and nothing but its own events goes on.
 Following = ContinueStream | Cut
-Command = Seek | Opening | Following
+Command = AttemptCommand | Opening | Following
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -380,7 +380,7 @@
             state = generation(may_repeat)
             state.hold = HOLD
             command = generation_step(state, event, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS)
-            assert not isinstance(command, gen.Seek), (event, command)
+            assert not isinstance(command, gen.AttemptCommand), (event, command)
             refusals += command == ENDS_ENDPOINTS
     assert refusals > len(GENERATION_EVENTS), refusals
     begun = generation(may_repeat=True)
