--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -18,7 +18,6 @@
     Following,
     HoldFailed,
     HoldTaken,
-    Opening,
     OpenStream,
     PlanGranted,
     PlanRefused,
@@ -28,6 +27,7 @@
     ReadPrompt,
     RelayBroken,
     RelayFailure,
+    StartCommand,
     StartStream,
     StreamAnswered,
     StreamBroken,
@@ -98,7 +98,7 @@
     return _before_first_byte(state, result)
 
 
-def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | Opening:
+def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | StartCommand:
     """Nothing is out: the caller gets the head of a stream, of a failure, or our own answer."""
     match result:
         case _Serve(head):
--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -17,7 +17,7 @@
     "HoldFailed",
     "HoldTaken",
     "OpenStream",
-    "Opening",
+    "StartCommand",
     "PlanGranted",
     "PlanRefused",
     "PlanSilent",
@@ -213,7 +213,7 @@
 # On the way to a run; legal at any time.
 AttemptCommand = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
 # Legal only while nothing of an answer is out: each sends a head.
-Opening = Refuse | StartStream | RelayFailure
+StartCommand = Refuse | StartStream | RelayFailure
 # Legal only once a stream is out: none sends a head, and nothing but its own events goes on.
 Following = ContinueStream | Cut
-Command = AttemptCommand | Opening | Following
+Command = AttemptCommand | StartCommand | Following
