--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -15,7 +15,7 @@
     ContinueStream,
     Cut,
     Event,
-    Following,
+    FollowUpCommand,
     HoldFailed,
     HoldTaken,
     OpenStream,
@@ -114,7 +114,7 @@
     return result
 
 
-def _after_first_byte(result: _Result) -> AttemptCommand | Following:
+def _after_first_byte(result: _Result) -> AttemptCommand | FollowUpCommand:
     """An answer is out: only events that follow, or a cut, tell the caller the truth.
 
     Neither our own answer nor an endpoint's failure can be told any more: its bytes would stand
--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -13,7 +13,7 @@
     "ContinueStream",
     "Cut",
     "Event",
-    "Following",
+    "FollowUpCommand",
     "HoldFailed",
     "HoldTaken",
     "OpenStream",
@@ -215,5 +215,5 @@
 # Legal only while nothing of an answer is out: each sends a head.
 StartCommand = Refuse | StartStream | RelayFailure
 # Legal only once a stream is out: none sends a head, and nothing but its own events goes on.
-Following = ContinueStream | Cut
-Command = AttemptCommand | StartCommand | Following
+FollowUpCommand = ContinueStream | Cut
+Command = AttemptCommand | StartCommand | FollowUpCommand
