--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -199,11 +199,11 @@
         case StreamWithheld(instance):
             state.failed.add(instance)
             return _redirect(state, pools, now_ms, "endpoint-leaves")
-        case RelayBroken(instance, known):
+        case RelayBroken(instance, position_known):
             state.note_broken(instance)
             if state.delivered is Delivered.FAILURE:
                 return _broken()
-            if not known:
+            if not position_known:
                 return _GiveUp(Refuse(502, "no-event-id", not_run=False))
             return _go_on(state, pools, now_ms, _broken())
 
--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -121,10 +121,10 @@
 
 @attrs.frozen
 class RelayBroken:
-    """The stream ended early; `known` tells whether its last event's id is known."""
+    """The stream ended early; `position_known` says that the id of its last event is known."""
 
     instance: StartId
-    known: bool
+    position_known: bool
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -338,7 +338,9 @@
         assert self._state.hold is not None
         endpoint = self._state.hold.endpoint
         self._note_break("stream", endpoint, broken)
-        return events.RelayBroken(endpoint.instance, known=self._relay.last_event is not None)
+        return events.RelayBroken(
+            endpoint.instance, position_known=self._relay.last_event is not None
+        )
 
     def _cut(self, reason: str) -> None:
         logger.info(
--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -140,7 +140,7 @@
 @given("a resumable stream that broke after some events")
 def broke(context):
     context.state = streaming(may_repeat=True)
-    context.command = gen_step(context.state, gen.RelayBroken("d0", known=True), 500)
+    context.command = gen_step(context.state, gen.RelayBroken("d0", position_known=True), 500)
 
 
 @then("memory is reserved at another endpoint, and the stream goes on there")
@@ -154,5 +154,5 @@
 
 @then("a stream that may not be resumed is cut")
 def is_cut(context):
-    command = gen_step(streaming(may_repeat=False), gen.RelayBroken("d0", known=True), 500)
+    command = gen_step(streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500)
     assert isinstance(command, gen.Cut), command
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -216,7 +216,7 @@
     state.hold, state.streams = KvHold(POOLS.decoders[0], "k", 2000), 1
     command = gen_step(state, StreamAnswered("d0", head_of("ok")), 400)
     assert command == StartStream(head_of("ok")), command
-    command = gen_step(state, RelayBroken("d0", known=False), 700)
+    command = gen_step(state, RelayBroken("d0", position_known=False), 700)
     assert command == Cut("no-event-id"), command
 
 
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -385,7 +385,7 @@
     assert refusals > len(GENERATION_EVENTS), refusals
     begun = generation(may_repeat=True)
     begun.hold, begun.delivered = HOLD, Delivered.STREAM
-    lost = gen.RelayBroken(POOLS.decoders[0].instance, known=True)
+    lost = gen.RelayBroken(POOLS.decoders[0].instance, position_known=True)
     assert generation_step(begun, lost, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS) == gen.Cut(
         "ends-endpoints"
     )
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -73,7 +73,7 @@
                 breaks and breaks.pop(0)
             ):
                 resumed += 1
-                event = gen.RelayBroken(state.hold.endpoint.instance, known=True)
+                event = gen.RelayBroken(state.hold.endpoint.instance, position_known=True)
             case gen.Wait(pause_ms):
                 now_ms += pause_ms
                 event = gen.Waited()
