--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -171,7 +171,7 @@
             state.asked.clear()
         case HoldFailed(instance, broken):
             if broken:
-                state.note_broken(instance)
+                state.mark_broken(instance)
             state.asked.add(instance)
             if state.granted is not None:
                 state.granted = None
@@ -190,7 +190,7 @@
         case StreamAnswered(instance, head):
             return _take_answer(state, instance, head, pools, now_ms)
         case StreamBroken(instance, sent, silent):
-            state.note_broken(instance)
+            state.mark_broken(instance)
             if not sent:
                 return _redirect(state, pools, now_ms, "unreachable")
             state.runs += 1
@@ -200,7 +200,7 @@
             state.failed.add(instance)
             return _redirect(state, pools, now_ms, "endpoint-leaves")
         case RelayBroken(instance, position_known):
-            state.note_broken(instance)
+            state.mark_broken(instance)
             if state.delivered is Delivered.FAILURE:
                 return _broken()
             if not position_known:
@@ -307,12 +307,12 @@
         return _redirect(state, pools, now_ms, head.reason)
     if head.executed is Executed.NO:
         lost_handle = state.handle if not head.misdirected else None
-        state.note_broken(lost_handle.endpoint.instance if lost_handle else instance)
+        state.mark_broken(lost_handle.endpoint.instance if lost_handle else instance)
         return _redirect(state, pools, now_ms, head.reason)
     state.runs += 1
     if head.success and head.signed:
         return _Serve(head)
-    state.note_broken(instance)
+    state.mark_broken(instance)
     signed = head.signed and not promises_not_run(head.status)
     return _go_on(state, pools, now_ms, _broken(head if signed else None))
 
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -99,7 +99,7 @@
     failed: set[StartId] = attrs.Factory(set)
     broken: set[StartId] = attrs.Factory(set)
 
-    def note_broken(self, instance: StartId) -> None:
+    def mark_broken(self, instance: StartId) -> None:
         """An endpoint gave no answer, or a wrong one."""
         self.failed.add(instance)
         self.broken.add(instance)
