--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -221,7 +221,7 @@
     state.plans_left -= 1
     in_time_ms = state.arrived_ms + state.target_ms - IN_TIME_MS - now_ms
     avoid = tuple(sorted(state.asked | state.failed | pools.eligibility.blocks.keys()))
-    return AskPlanner(in_time_ms, patience_ms, avoid, state.take_broken())
+    return AskPlanner(in_time_ms, patience_ms, avoid, state.pop_broken())
 
 
 def _hold_ms(state: GenerationState, now_ms: int) -> int:
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -104,7 +104,7 @@
         self.failed.add(instance)
         self.broken.add(instance)
 
-    def take_broken(self) -> tuple[StartId, ...]:
+    def pop_broken(self) -> tuple[StartId, ...]:
         """What the planner has not heard yet."""
         broken = tuple(sorted(self.broken))
         self.broken.clear()
--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -91,7 +91,7 @@
     command = gen_step(context.state, gen.StreamBroken("d0", sent=False))
     assert isinstance(command, gen.AskPlanner), command
     assert command.broken == ("d0", "p1") and set(command.avoid) == {"d0", "p0", "p1"}
-    assert context.state.take_broken() == ()
+    assert context.state.pop_broken() == ()
 
 
 @then("where a handle was lost, of the reader that had it")
@@ -101,7 +101,7 @@
     state.handle = KvHandle(POOLS.prefillers[1], "h", 5000)
     refusal = AnswerHead(503, (), Executed.NO, signed=False, reason="status-503")
     gen_step(state, gen.StreamAnswered("d0", refusal))
-    assert state.take_broken() == ("p1",)
+    assert state.pop_broken() == ("p1",)
 
 
 @then("whatever endpoints answer, a generation that may not repeat runs once at most")
