--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -70,7 +70,7 @@
         deadline_at_ms=job.deadline_at_ms,
         hold_most_ms=engine.hold_most_ms,
         headroom_tokens=int(HEADROOM_SHARE * engine.kv_capacity_tokens),
-        gives_up_ms=first_event_limit_ms(job.route),
+        first_event_timeout_ms=first_event_limit_ms(job.route),
         returned=job.request.left_ms < RETURNED_BELOW_SHARE * usual_left_ms,
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -82,7 +82,7 @@
     deadline_at_ms: int
     hold_most_ms: int
     headroom_tokens: int = 0
-    gives_up_ms: int = GIVE_UP_LEAST_MS
+    first_event_timeout_ms: int = GIVE_UP_LEAST_MS
     returned: bool = False
     runs: int = 0
     redirects: int = 0
@@ -120,8 +120,10 @@
         """When waiting for memory has no more use, as the caller is about to leave."""
         if self.answer_started:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
-        gives_up_ms = min(self.gives_up_ms, self.deadline_at_ms - self.arrived_ms)
-        return self.arrived_ms + RETURNED_PATIENCE_SHARE * gives_up_ms
+        first_event_timeout_ms = min(
+            self.first_event_timeout_ms, self.deadline_at_ms - self.arrived_ms
+        )
+        return self.arrived_ms + RETURNED_PATIENCE_SHARE * first_event_timeout_ms
 
     @property
     def patience_until_ms(self) -> float:
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -21,7 +21,7 @@
         0,
         14_000,
         2000,
-        gives_up_ms=3600,
+        first_event_timeout_ms=3600,
         returned=returned,
         plans_left=0,
     )
--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -165,7 +165,7 @@
 
 def play_generation(may_repeat, played):
     state = GenerationState(
-        "s", 9000, may_repeat, 3, 900, 0, 14_000, 2000, gives_up_ms=3600, plans_left=2
+        "s", 9000, may_repeat, 3, 900, 0, 14_000, 2000, first_event_timeout_ms=3600, plans_left=2
     )
     budget, now_ms, ran, told = narrow_budget(), 0, 0, None
     event = Begin()
