--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -70,7 +70,7 @@
         deadline_at_ms=job.deadline_at_ms,
         hold_most_ms=engine.hold_most_ms,
         headroom_tokens=int(HEADROOM_SHARE * engine.kv_capacity_tokens),
-        first_event_timeout_ms=first_event_limit_ms(job.route),
+        first_event_timeout_ms=client_first_event_timeout_ms(job.route),
         returned=job.request.left_ms < RETURNED_BELOW_SHARE * usual_left_ms,
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
@@ -78,7 +78,7 @@
     await _GenerationRun(node, job, state, Place(node, job, size), relay).run()
 
 
-def first_event_limit_ms(route: Route) -> int:
+def client_first_event_timeout_ms(route: Route) -> int:
     """After how long without a first event callers of a route leave."""
     by_target_ms = GIVE_UP_TARGETS * route.target_ms
     return max(GIVE_UP_LEAST_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
