--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -214,7 +214,7 @@
 
 def _plan(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
     """Ask the planner, a few times at most; then the endpoints themselves."""
-    patience_ms = int(state.gives_up_at_ms - now_ms)
+    patience_ms = int(state.max_wait_at_ms - now_ms)
     blocked = bool(pools.decoder_blocks)
     if not state.plans_left or patience_ms <= 0 or not pools.decoders or blocked:
         return _ask(state, pools, now_ms)
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -116,7 +116,7 @@
         return self.delivered is not Delivered.NOTHING
 
     @property
-    def gives_up_at_ms(self) -> float:
+    def max_wait_at_ms(self) -> float:
         """When waiting for memory has no more use, as the caller is about to leave."""
         if self.answer_started:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
@@ -129,5 +129,5 @@
     def patience_until_ms(self) -> float:
         """Until when a request that finds no memory waits for it."""
         if self.answer_started or self.returned:
-            return self.gives_up_at_ms
+            return self.max_wait_at_ms
         return self.arrived_ms + PATIENCE_SHARE * self.target_ms
