--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -250,10 +250,10 @@
             return TakeHold(endpoint, state.tokens, state.headroom_tokens, ttl_ms)
     if blocks := pools.decoder_blocks:
         refusal = refuse_blocked(blocks)
-        if now_ms + refusal.not_before_ms >= state.patience_until_ms:
+        if now_ms + refusal.not_before_ms >= state.waits_until_ms:
             return _GiveUp(refusal)
     pause_ms = max(HOLD_POLL_MS, HOLD_ASK_MS * len(pools.decoders))
-    if now_ms + pause_ms < state.patience_until_ms:
+    if now_ms + pause_ms < state.waits_until_ms:
         state.failed.clear()
         return Wait(pause_ms)
     reason = "memory-full" if pools.decoders else "no-endpoint"
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -126,7 +126,7 @@
         return self.arrived_ms + RETURNED_PATIENCE_SHARE * first_event_timeout_ms
 
     @property
-    def patience_until_ms(self) -> float:
+    def waits_until_ms(self) -> float:
         """Until when a request that finds no memory waits for it."""
         if self.answer_started or self.returned:
             return self.max_wait_at_ms
