--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -56,7 +56,7 @@
     """What happened so far. `runs` counts sends that may have been executed.
 
     `used_up`: the endpoints whose limit left no room for this request.
-    `reason`: why an endpoint is sought; `otherwise`: what the caller is told of the last run if
+    `reason`: why an endpoint is sought; `fallback`: what the caller is told of the last run if
     none is found.
     """
 
@@ -71,7 +71,7 @@
     tried: set[StartId] = attrs.Factory(set)
     used_up: dict[StartId, Block] = attrs.Factory(dict)
     reason: str = ""
-    otherwise: "Relay | Refuse | None" = None
+    fallback: "Relay | Refuse | None" = None
 
 
 @attrs.frozen
@@ -205,7 +205,7 @@
     end = _end_of_run(head, silent)
     final = head is not None and head.signed and head.status < 500
     if not final and state.may_repeat and state.runs < state.max_attempts:
-        state.otherwise = end
+        state.fallback = end
         again = _send(state, choice, now_ms, "failed")
         if isinstance(again, SendTo | AcquirePermit):
             return again
@@ -224,8 +224,8 @@
 def _send_permitted(state: PlainState, choice: _Choice, now_ms: int) -> Command:
     """It is known whether the request may go to an endpoint that names a limit."""
     command = _send(state, choice, now_ms, state.reason)
-    if state.otherwise is not None and isinstance(command, Refuse):
-        return state.otherwise
+    if state.fallback is not None and isinstance(command, Refuse):
+        return state.fallback
     return command
 
 
@@ -243,7 +243,7 @@
     if state.sends:
         choice.budget.withdraw(state.service, now_ms)
     state.sends += 1
-    state.otherwise = None
+    state.fallback = None
     state.tried.add(endpoint.instance)
     hedges = state.may_repeat and state.runs + 1 < state.max_attempts and len(fresh) > 1
     wait_ms = min(left_ms, int(HEDGE_SHARE * state.target_ms)) if hedges else left_ms
