--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -55,7 +55,7 @@
 class PlainState:
     """What happened so far. `runs` counts sends that may have been executed.
 
-    `used_up`: the endpoints whose limit left no room for this request.
+    `rate_limited`: the endpoints whose limit left no room for this request.
     `reason`: why an endpoint is sought; `fallback`: what the caller is told of the last run if
     none is found.
     """
@@ -69,7 +69,7 @@
     redirects: int = 0
     sends: int = 0
     tried: set[StartId] = attrs.Factory(set)
-    used_up: dict[StartId, Block] = attrs.Factory(dict)
+    rate_limited: dict[StartId, Block] = attrs.Factory(dict)
     reason: str = ""
     fallback: "Relay | Refuse | None" = None
 
@@ -170,7 +170,7 @@
         case Permitted():
             return _send_permitted(state, choice, now_ms)
         case NotPermitted(instance, after_ms):
-            state.used_up[instance] = Block(BlockReason.RATE_LIMITED, after_ms)
+            state.rate_limited[instance] = Block(BlockReason.RATE_LIMITED, after_ms)
             return _send_permitted(state, choice, now_ms)
         case Answered(_, head) if head.executed is Executed.NO:
             return _redirect(state, choice, now_ms, head.reason)
@@ -258,7 +258,7 @@
 
 def _find_blocks(state: PlainState, choice: _Choice) -> dict[StartId, Block]:
     """Why endpoints may not be sent this request now."""
-    blocks = {**choice.eligibility.blocks, **state.used_up}
+    blocks = {**choice.eligibility.blocks, **state.rate_limited}
     permitted = choice.permitted
     # A permit outdoes the limit that it was granted within, and nothing else.
     if permitted in blocks and blocks[permitted].reason is BlockReason.RATE_LIMITED:
