--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -23,7 +23,7 @@
     "DutyUnknown",
     "Event",
     "GiveOrder",
-    "Look",
+    "EndpointsObserved",
     "Ordered",
     "RoleState",
     "StoreRestored",
@@ -90,7 +90,7 @@
 
 
 @attrs.frozen
-class Look:
+class EndpointsObserved:
     """The usable endpoints of one service with engines, as the directory has them now.
 
     `place` is this node's among all that may ask for the duty; 0 asks first.
@@ -149,7 +149,7 @@
     fence: int
 
 
-Event = Look | DutyTaken | DutyHeldByOther | DutyUnknown | StoreRestored | Ordered
+Event = EndpointsObserved | DutyTaken | DutyHeldByOther | DutyUnknown | StoreRestored | Ordered
 Command = TakeDuty | GiveOrder
 
 
@@ -161,7 +161,7 @@
 def step(state: RoleState, event: Event, now_ms: int) -> Command | None:
     """The next command, or None when there is nothing to do."""
     match event:
-        case Look(endpoints, place):
+        case EndpointsObserved(endpoints, place):
             turn_ms = 0 if state.mine else place // TURN_NODES * TURN_MS
             return _look(state, endpoints, turn_ms, now_ms)
         case DutyTaken(revision, took_over):
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -18,8 +18,8 @@
     StoredObject,
 )
 from saffronworks.forwarding.role_core import (
+    EndpointsObserved,
     GiveOrder,
-    Look,
     RoleState,
     StoreRestored,
     TakeDuty,
@@ -63,7 +63,7 @@
         self._written = 0
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """EndpointsObserved again and again until cancelled."""
         while True:
             await anyio.sleep(LOOK_EVERY_MS / 1000)
             table = self._table()
@@ -79,7 +79,7 @@
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
         place = self._turns.place(f"{DUTY_KIND}/{service}")
-        event: role_core.Event = Look(self._directory.usable(service, now_ms), place)
+        event: role_core.Event = EndpointsObserved(self._directory.usable(service, now_ms), place)
         while (command := role_core.step(state, event, self._now_ms())) is not None:
             match command:
                 case TakeDuty():
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -26,7 +26,7 @@
 def look_until(state, engines, from_ms, until_ms):
     """The first command, and when it came."""
     for now_ms in range(from_ms, until_ms, 500):
-        command = roles.step(state, roles.Look(engines), now_ms)
+        command = roles.step(state, roles.EndpointsObserved(engines), now_ms)
         if command is not None:
             return command, now_ms
     return None, until_ms
@@ -75,7 +75,7 @@
     asked_ms = []
     for place in range(200):
         state, now_ms = roles.RoleState(f"n{place}", 3000, 300), 0
-        while roles.step(state, roles.Look(context.engines, place), now_ms) is None:
+        while roles.step(state, roles.EndpointsObserved(context.engines, place), now_ms) is None:
             now_ms += 500
         asked_ms.append(now_ms)
     assert asked_ms == sorted(asked_ms), "a later one asks before an earlier one"
@@ -140,7 +140,10 @@
     for engines in context.services:
         state = roles.RoleState("n", 3000, 300)
         assert (
-            roles.step(state, roles.Look(endpoints(1, Role.DECODE, "d") + engines[:1]), 0) is None
+            roles.step(
+                state, roles.EndpointsObserved(endpoints(1, Role.DECODE, "d") + engines[:1]), 0
+            )
+            is None
         )
         command, at_ms = look_until(state, engines, 500, 10_000)
         assert isinstance(command, roles.TakeDuty) and at_ms < 3000, (engines, at_ms)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -20,7 +20,7 @@
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.plans import PlanState
 from saffronworks.forwarding.planning.service import MemoryPlanner
-from saffronworks.forwarding.role_core import Look, OpenOrder, Ordered, RoleState, step
+from saffronworks.forwarding.role_core import EndpointsObserved, OpenOrder, Ordered, RoleState, step
 from saffronworks.forwarding.starts import StartId, is_later, start_id
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
@@ -312,5 +312,5 @@
         start(f"d{index}", 5, f"127.0.0.1:{index + 2}", role=Role.DECODE) for index in range(4)
     ]
     later = start("e0", 9, role=Role.PREFILL)
-    assert step(state, Look([later, *others]), 3000) is None
+    assert step(state, EndpointsObserved([later, *others]), 3000) is None
     assert not state.orders, "the later start was given no order"
