--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -24,7 +24,7 @@
     "Event",
     "GiveOrder",
     "EndpointsObserved",
-    "Ordered",
+    "OrderAnswered",
     "RoleState",
     "StoreRestored",
     "TakeDuty",
@@ -126,7 +126,7 @@
 
 
 @attrs.frozen
-class Ordered:
+class OrderAnswered:
     """The endpoint answered the order, or (`accepted` None) gave no answer."""
 
     instance: StartId
@@ -149,7 +149,9 @@
     fence: int
 
 
-Event = EndpointsObserved | DutyTaken | DutyHeldByOther | DutyUnknown | StoreRestored | Ordered
+Event = (
+    EndpointsObserved | DutyTaken | DutyHeldByOther | DutyUnknown | StoreRestored | OrderAnswered
+)
 Command = TakeDuty | GiveOrder
 
 
@@ -175,7 +177,7 @@
             state.ask_again_ms = now_ms + DUTY_AGAIN_MS
         case StoreRestored():
             _forget_duty(state, now_ms)
-        case Ordered(instance, accepted):
+        case OrderAnswered(instance, accepted):
             if accepted is False:
                 state.orders.pop(instance, None)
                 state.ask_again_ms = now_ms + DUTY_AGAIN_MS
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -113,7 +113,7 @@
         confirmed_ms_ago = self._now_ms() - state.duty_seen_ms
         if confirmed_ms_ago > role_core.CONFIRMED_MS:
             logger.info("event=order_dropped confirmed_ms_ago=%d", confirmed_ms_ago)
-            return role_core.Ordered(command.endpoint.instance, accepted=False)
+            return role_core.OrderAnswered(command.endpoint.instance, accepted=False)
         accepted: bool | None
         try:
             reply = await self._calls.order_role(
@@ -132,7 +132,7 @@
             accepted,
             reason,
         )
-        return role_core.Ordered(command.endpoint.instance, accepted)
+        return role_core.OrderAnswered(command.endpoint.instance, accepted)
 
 
 def _read_duty(
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -40,7 +40,7 @@
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
     assert order.role is Role.DECODE and order.fence == at(19).fence
     assert order.endpoint.role is Role.PREFILL
-    roles.step(state, roles.Ordered(order.endpoint.instance, True), at_ms)
+    roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), at_ms)
     again, _ = look_until(state, context.engines, at_ms, at_ms + roles.ORDER_OPEN_MS)
     assert again is None, "a second order while the first is open"
 
@@ -88,7 +88,7 @@
     state = roles.RoleState("n", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
-    roles.step(state, roles.Ordered(order.endpoint.instance, None), at_ms)
+    roles.step(state, roles.OrderAnswered(order.endpoint.instance, None), at_ms)
     command, again_ms = look_until(state, context.engines, at_ms, at_ms + 10_000)
     assert isinstance(command, roles.TakeDuty) and again_ms - at_ms >= roles.ORDER_AGAIN_MS
     again = roles.step(state, roles.DutyTaken(at(23), took_over=False), again_ms)
@@ -107,7 +107,7 @@
         command, now_ms = look_until(state, engines, now_ms, now_ms + 500)
         if command is not None:
             order = roles.step(state, roles.DutyTaken(at(now_ms + 1), took_over=False), now_ms)
-            roles.step(state, roles.Ordered(order.endpoint.instance, True), now_ms)
+            roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), now_ms)
             ordered.append(order.endpoint.instance)
         now_ms += 500
     surplus = 7 - roles.wanted_prefillers(18)
@@ -170,7 +170,7 @@
     state = roles.RoleState("n", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
     order = roles.step(state, roles.DutyTaken(at(5), took_over=False), at_ms)
-    roles.step(state, roles.Ordered(order.endpoint.instance, True), at_ms)
+    roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), at_ms)
     rest = [e for e in context.engines if e != order.endpoint]
     command, _ = look_until(state, rest, at_ms, at_ms + 5000)
     assert isinstance(command, roles.TakeDuty)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -20,7 +20,13 @@
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.plans import PlanState
 from saffronworks.forwarding.planning.service import MemoryPlanner
-from saffronworks.forwarding.role_core import EndpointsObserved, OpenOrder, Ordered, RoleState, step
+from saffronworks.forwarding.role_core import (
+    EndpointsObserved,
+    OpenOrder,
+    OrderAnswered,
+    RoleState,
+    step,
+)
 from saffronworks.forwarding.starts import StartId, is_later, start_id
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
@@ -307,7 +313,7 @@
     state = RoleState("n", 3000, 300)
     before = start("e0", 5, role=Role.PREFILL)
     state.orders[before.instance] = OpenOrder(Role.DECODE, ordered_ms=0)
-    step(state, Ordered(before.instance, None), 100)
+    step(state, OrderAnswered(before.instance, None), 100)
     others = [
         start(f"d{index}", 5, f"127.0.0.1:{index + 2}", role=Role.DECODE) for index in range(4)
     ]
