--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -22,7 +22,7 @@
     "DutyTaken",
     "DutyUnknown",
     "Event",
-    "GiveOrder",
+    "OrderRole",
     "EndpointsObserved",
     "OrderAnswered",
     "RoleState",
@@ -141,7 +141,7 @@
 
 
 @attrs.frozen
-class GiveOrder:
+class OrderRole:
     """Order an endpoint into a role."""
 
     endpoint: ServiceEndpoint
@@ -152,7 +152,7 @@
 Event = (
     EndpointsObserved | DutyTaken | DutyHeldByOther | DutyUnknown | StoreRestored | OrderAnswered
 )
-Command = TakeDuty | GiveOrder
+Command = TakeDuty | OrderRole
 
 
 def wanted_prefillers(engines: int) -> int:
@@ -287,4 +287,4 @@
         return None
     role = Role.DECODE if chosen.role is Role.PREFILL else Role.PREFILL
     state.orders[chosen.instance] = OpenOrder(role, now_ms)
-    return GiveOrder(chosen, role, revision.fence)
+    return OrderRole(chosen, role, revision.fence)
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -19,7 +19,7 @@
 )
 from saffronworks.forwarding.role_core import (
     EndpointsObserved,
-    GiveOrder,
+    OrderRole,
     RoleState,
     StoreRestored,
     TakeDuty,
@@ -84,7 +84,7 @@
             match command:
                 case TakeDuty():
                     event = await self._take_duty(service, state, command)
-                case GiveOrder():
+                case OrderRole():
                     event = await self._order(command, state)
 
     async def _take_duty(
@@ -109,7 +109,7 @@
         )
         return event
 
-    async def _order(self, command: GiveOrder, state: RoleState) -> role_core.Event:
+    async def _order(self, command: OrderRole, state: RoleState) -> role_core.Event:
         confirmed_ms_ago = self._now_ms() - state.duty_seen_ms
         if confirmed_ms_ago > role_core.CONFIRMED_MS:
             logger.info("event=order_dropped confirmed_ms_ago=%d", confirmed_ms_ago)
