--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -83,7 +83,7 @@
     orders: dict[StartId, OpenOrder] = attrs.Factory(dict)
     duty_revision: StoreRevision | None = None
     duty_seen_ms: int = 0
-    mine: bool = False
+    is_holder: bool = False
     may_order_from_ms: int = 0
     ask_again_ms: int = 0
     chosen: ServiceEndpoint | None = None
@@ -164,12 +164,12 @@
     """The next command, or None when there is nothing to do."""
     match event:
         case EndpointsObserved(endpoints, place):
-            turn_ms = 0 if state.mine else place // TURN_NODES * TURN_MS
+            turn_ms = 0 if state.is_holder else place // TURN_NODES * TURN_MS
             return _look(state, endpoints, turn_ms, now_ms)
         case DutyTaken(revision, took_over):
             return _take_duty(state, revision, took_over, now_ms)
         case DutyHeldByOther(revision):
-            state.mine = False
+            state.is_holder = False
             if revision != state.duty_revision:
                 state.duty_revision, state.duty_seen_ms = revision, now_ms
             state.ask_again_ms = now_ms + DUTY_AGAIN_MS
@@ -189,7 +189,7 @@
 def _forget_duty(state: RoleState, now_ms: int) -> None:
     """The holder may claim it again at once; others wait until all its orders are over."""
     state.duty_revision, state.duty_seen_ms = None, now_ms
-    if not state.mine:
+    if not state.is_holder:
         state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_FREE_MS)
 
 
@@ -202,7 +202,7 @@
     if chosen is None or now_ms < max(state.ask_again_ms, state.may_order_from_ms):
         return None
     state.chosen = chosen
-    free = not state.mine and now_ms - state.duty_seen_ms >= DUTY_FREE_MS
+    free = not state.is_holder and now_ms - state.duty_seen_ms >= DUTY_FREE_MS
     return TakeDuty(state.duty_revision if free else None)
 
 
@@ -276,7 +276,7 @@
 def _take_duty(
     state: RoleState, revision: StoreRevision, took_over: bool, now_ms: int
 ) -> Command | None:
-    state.mine = True
+    state.is_holder = True
     state.duty_revision, state.duty_seen_ms = revision, now_ms
     if took_over:
         from_ms = now_ms + state.lease_ms + state.thaw_slack_ms
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -94,12 +94,12 @@
         asked_ms = self._now_ms()
         self._written += 1
         content = msgspec.json.encode({"holder": state.node, "written": self._written})
-        revision = state.duty_revision if state.mine else command.free_revision
+        revision = state.duty_revision if state.is_holder else command.free_revision
         if revision is None:
             reply = await self._store.create(DUTY_KIND, service, content)
         else:
             reply = await self._store.replace(DUTY_KIND, service, content, revision)
-        event = _read_duty(reply, revision, state.mine)
+        event = _read_duty(reply, revision, state.is_holder)
         logger.info(
             "event=duty service=%s at_revision=%s result=%s took_ms=%d",
             service,
@@ -138,13 +138,13 @@
 def _read_duty(
     reply: Result[StoredObject, Conflict | SourceFailure],
     asked_at: StoreRevision | None,
-    mine: bool,
+    is_holder: bool,
 ) -> role_core.Event:
     """Only a duty confirmed within one epoch, or created for the first time, was nobody else's."""
     match reply:
         case Ok(written):
             restored = asked_at is not None and written.revision.epoch != asked_at.epoch
-            took_over = restored or mine is (asked_at is None)
+            took_over = restored or is_holder is (asked_at is None)
             return role_core.DutyTaken(written.revision, took_over)
         case Err(Conflict(found)) if found is not None:
             return role_core.DutyHeldByOther(found.revision)
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -99,11 +99,11 @@
 def claims_again(context):
     command, asked_ms = first_ask(context.holder, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None) and asked_ms < RESTORED_MS + 6000
-    reply = _read_duty(Ok(StoredObject("s", at(40, epoch=2), b"")), None, mine=True)
+    reply = _read_duty(Ok(StoredObject("s", at(40, epoch=2), b"")), None, is_holder=True)
     assert roles.step(context.holder, reply, asked_ms) is None
     _, again_ms = first_ask(context.holder, context.engines, asked_ms)
     assert again_ms >= asked_ms + 3300
-    reply = _read_duty(Ok(StoredObject("s", at(44, epoch=2), b"")), at(40, epoch=2), mine=True)
+    reply = _read_duty(Ok(StoredObject("s", at(44, epoch=2), b"")), at(40, epoch=2), is_holder=True)
     order = roles.step(context.holder, reply, again_ms)
     assert order.fence > at(900).fence
 
@@ -118,9 +118,9 @@
 @then("a confirmation that overwrote an object of the later epoch counts as taking it over")
 def overwrote(context):
     written = Ok(StoredObject("s", at(41, epoch=2), b""))
-    assert _read_duty(written, at(40, epoch=1), mine=True) == roles.DutyTaken(at(41, 2), True)
-    assert _read_duty(written, at(40, epoch=2), mine=True) == roles.DutyTaken(at(41, 2), False)
-    assert _read_duty(written, None, mine=False) == roles.DutyTaken(at(41, 2), False)
+    assert _read_duty(written, at(40, epoch=1), is_holder=True) == roles.DutyTaken(at(41, 2), True)
+    assert _read_duty(written, at(40, epoch=2), is_holder=True) == roles.DutyTaken(at(41, 2), False)
+    assert _read_duty(written, None, is_holder=False) == roles.DutyTaken(at(41, 2), False)
 
 
 @then("owners write what is quarantined again, and remove again what was cleared")
