--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -29,7 +29,7 @@
     "StoreRestored",
     "TakeDuty",
     "step",
-    "wanted_prefillers",
+    "target_prefillers",
 ]
 
 # A prompt of 5,000 tokens takes 90 ms to read, its answer a ninth of a decode endpoint's memory for
@@ -155,7 +155,7 @@
 Command = TakeDuty | OrderRole
 
 
-def wanted_prefillers(engines: int) -> int:
+def target_prefillers(engines: int) -> int:
     """How many of so many engines should read prompts."""
     return max(1, math.ceil(PREFILL_SHARE * engines))
 
@@ -264,7 +264,7 @@
     prefillers, decoders = by_role[Role.PREFILL], by_role[Role.DECODE]
     state.decoder_seen = state.decoder_seen or bool(decoders)
     free = [e for e in (*prefillers, *decoders) if e.instance not in state.orders]
-    if len(prefillers) > (wanted_prefillers(len(endpoints)) if decoders else 0):
+    if len(prefillers) > (target_prefillers(len(endpoints)) if decoders else 0):
         surplus = [e for e in free if e.role is Role.PREFILL]
         return max(surplus, key=lambda e: e.instance, default=None)
     if not prefillers and len(decoders) > LEAST_DECODERS:
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -110,7 +110,7 @@
             roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), now_ms)
             ordered.append(order.endpoint.instance)
         now_ms += 500
-    surplus = 7 - roles.wanted_prefillers(18)
+    surplus = 7 - roles.target_prefillers(18)
     assert len(ordered) == len(set(ordered)) == surplus, ordered
 
 
