--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -82,7 +82,7 @@
     decoder_seen: bool = False
     orders: dict[StartId, OpenOrder] = attrs.Factory(dict)
     duty_revision: StoreRevision | None = None
-    duty_seen_ms: int = 0
+    duty_changed_ms: int = 0
     is_holder: bool = False
     may_order_from_ms: int = 0
     ask_again_ms: int = 0
@@ -171,7 +171,7 @@
         case DutyHeldByOther(revision):
             state.is_holder = False
             if revision != state.duty_revision:
-                state.duty_revision, state.duty_seen_ms = revision, now_ms
+                state.duty_revision, state.duty_changed_ms = revision, now_ms
             state.ask_again_ms = now_ms + DUTY_AGAIN_MS
         case DutyUnknown():
             state.ask_again_ms = now_ms + DUTY_AGAIN_MS
@@ -188,7 +188,7 @@
 
 def _forget_duty(state: RoleState, now_ms: int) -> None:
     """The holder may claim it again at once; others wait until all its orders are over."""
-    state.duty_revision, state.duty_seen_ms = None, now_ms
+    state.duty_revision, state.duty_changed_ms = None, now_ms
     if not state.is_holder:
         state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_FREE_MS)
 
@@ -202,7 +202,7 @@
     if chosen is None or now_ms < max(state.ask_again_ms, state.may_order_from_ms):
         return None
     state.chosen = chosen
-    free = not state.is_holder and now_ms - state.duty_seen_ms >= DUTY_FREE_MS
+    free = not state.is_holder and now_ms - state.duty_changed_ms >= DUTY_FREE_MS
     return TakeDuty(state.duty_revision if free else None)
 
 
@@ -277,7 +277,7 @@
     state: RoleState, revision: StoreRevision, took_over: bool, now_ms: int
 ) -> Command | None:
     state.is_holder = True
-    state.duty_revision, state.duty_seen_ms = revision, now_ms
+    state.duty_revision, state.duty_changed_ms = revision, now_ms
     if took_over:
         from_ms = now_ms + state.lease_ms + state.thaw_slack_ms
         state.may_order_from_ms = max(state.may_order_from_ms, from_ms)
