--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -85,7 +85,7 @@
     duty_changed_ms: int = 0
     is_holder: bool = False
     may_order_from_ms: int = 0
-    ask_again_ms: int = 0
+    retry_at_ms: int = 0
     chosen: ServiceEndpoint | None = None
 
 
@@ -172,15 +172,15 @@
             state.is_holder = False
             if revision != state.duty_revision:
                 state.duty_revision, state.duty_changed_ms = revision, now_ms
-            state.ask_again_ms = now_ms + DUTY_AGAIN_MS
+            state.retry_at_ms = now_ms + DUTY_AGAIN_MS
         case DutyUnknown():
-            state.ask_again_ms = now_ms + DUTY_AGAIN_MS
+            state.retry_at_ms = now_ms + DUTY_AGAIN_MS
         case StoreRestored():
             _forget_duty(state, now_ms)
         case OrderAnswered(instance, accepted):
             if accepted is False:
                 state.orders.pop(instance, None)
-                state.ask_again_ms = now_ms + DUTY_AGAIN_MS
+                state.retry_at_ms = now_ms + DUTY_AGAIN_MS
             elif instance in state.orders:
                 state.orders[instance].unanswered = accepted is None
     return None
@@ -199,7 +199,7 @@
     _settle_orders(state, endpoints, now_ms)
     chosen = _order_again(state, endpoints, now_ms)
     chosen = chosen or _unbalanced(state, endpoints, turn_ms, now_ms)
-    if chosen is None or now_ms < max(state.ask_again_ms, state.may_order_from_ms):
+    if chosen is None or now_ms < max(state.retry_at_ms, state.may_order_from_ms):
         return None
     state.chosen = chosen
     free = not state.is_holder and now_ms - state.duty_changed_ms >= DUTY_FREE_MS
