--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -41,7 +41,7 @@
 ENTERED_MS = 5000
 # A lack that lasts this long: a crashed endpoint's entry goes after 3.6 s, and most are back by
 # then or a moment later. Without a reader, worth on two days fell to 0.26 and 0.04.
-LACK_MS = 1500
+SHORTAGE_MS = 1500
 # Endpoints that must remain to decode when one of them is to read. With fewer, the six seconds
 # and more of a change cost more than reading beside the runs (one day with two engines left).
 LEAST_DECODERS = 2
@@ -78,7 +78,7 @@
     lease_ms: int
     thaw_slack_ms: int
     unbalanced_since_ms: int | None = None
-    lacking: bool = False
+    shortage: bool = False
     decoder_seen: bool = False
     orders: dict[StartId, OpenOrder] = attrs.Factory(dict)
     duty_revision: StoreRevision | None = None
@@ -234,18 +234,18 @@
     if chosen is None:
         state.unbalanced_since_ms = None
         return None
-    lacking = chosen.role is Role.DECODE
-    if state.unbalanced_since_ms is None or lacking is not state.lacking:
-        state.unbalanced_since_ms, state.lacking = now_ms, lacking
+    shortage = chosen.role is Role.DECODE
+    if state.unbalanced_since_ms is None or shortage is not state.shortage:
+        state.unbalanced_since_ms, state.shortage = now_ms, shortage
     lasted_ms = now_ms - state.unbalanced_since_ms
-    return chosen if lasted_ms >= _wait_ms(state, lacking) + turn_ms else None
+    return chosen if lasted_ms >= _wait_ms(state, shortage) + turn_ms else None
 
 
-def _wait_ms(state: RoleState, lacking: bool) -> int:
+def _wait_ms(state: RoleState, shortage: bool) -> int:
     """How long an imbalance has to last."""
     if not state.decoder_seen:
         return ENTERED_MS
-    return LACK_MS if lacking else EXCESS_MS
+    return SHORTAGE_MS if shortage else EXCESS_MS
 
 
 def _choose(state: RoleState, endpoints: list[ServiceEndpoint]) -> ServiceEndpoint | None:
