--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -38,7 +38,7 @@
 # An excess that lasts this long is real: endpoints enter themselves within 4.5 s of the start.
 EXCESS_MS = 2000
 # Endpoints enter themselves within 4.5 s of the start: readers that came first are not alone yet.
-ENTERED_MS = 5000
+STARTUP_GRACE_MS = 5000
 # A lack that lasts this long: a crashed endpoint's entry goes after 3.6 s, and most are back by
 # then or a moment later. Without a reader, worth on two days fell to 0.26 and 0.04.
 SHORTAGE_MS = 1500
@@ -244,7 +244,7 @@
 def _wait_ms(state: RoleState, shortage: bool) -> int:
     """How long an imbalance has to last."""
     if not state.decoder_seen:
-        return ENTERED_MS
+        return STARTUP_GRACE_MS
     return SHORTAGE_MS if shortage else EXCESS_MS
 
 
