--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -52,7 +52,7 @@
 # A duty whose object did not change for this long is free: all orders of its holder are over.
 DUTY_FREE_MS = 13_000
 # An order goes out at most this long after the duty was confirmed.
-CONFIRMED_MS = 300
+CONFIRMATION_VALID_MS = 300
 # So many nodes ask for a duty that all see undone, each next group only when that lasts longer: one
 # of them is enough. Of 195 nodes all asked in the same half second, twice in the first ten seconds.
 TURN_NODES = 4
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -111,7 +111,7 @@
 
     async def _order(self, command: OrderRole, state: RoleState) -> role_core.Event:
         confirmed_ms_ago = self._now_ms() - state.duty_changed_ms
-        if confirmed_ms_ago > role_core.CONFIRMED_MS:
+        if confirmed_ms_ago > role_core.CONFIRMATION_VALID_MS:
             logger.info("event=order_dropped confirmed_ms_ago=%d", confirmed_ms_ago)
             return role_core.OrderAnswered(command.endpoint.instance, accepted=False)
         accepted: bool | None
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -189,7 +189,7 @@
         return Ok(StoredObject(name, at(19), content))
 
     def clock(self):
-        frozen_ms = roles.CONFIRMED_MS + 1 if self.asked else 0
+        frozen_ms = roles.CONFIRMATION_VALID_MS + 1 if self.asked else 0
         self.now_ms += frozen_ms
         return self.now_ms
 
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -67,7 +67,7 @@
     before_ms, after_ms = context.before_ms, context.after_ms
     state = role_core.RoleState("n", 3000, 300)
     role_core.step(state, role_core.DutyTaken(7, took_over=False), before_ms)
-    assert after_ms - state.duty_changed_ms > role_core.CONFIRMED_MS
+    assert after_ms - state.duty_changed_ms > role_core.CONFIRMATION_VALID_MS
     plan = PlanState(before_ms - 5000, 90_000, 8)
     plan.heard_ms = before_ms
     assert plan.whole(before_ms)
