--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -50,7 +50,7 @@
 # It is given again after this pause, to the same endpoint, where it changes nothing twice.
 ORDER_AGAIN_MS = 2500
 # A duty whose object did not change for this long is free: all orders of its holder are over.
-DUTY_FREE_MS = 13_000
+DUTY_EXPIRY_MS = 13_000
 # An order goes out at most this long after the duty was confirmed.
 CONFIRMATION_VALID_MS = 300
 # So many nodes ask for a duty that all see undone, each next group only when that lasts longer: one
@@ -190,7 +190,7 @@
     """The holder may claim it again at once; others wait until all its orders are over."""
     state.duty_revision, state.duty_changed_ms = None, now_ms
     if not state.is_holder:
-        state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_FREE_MS)
+        state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_EXPIRY_MS)
 
 
 def _look(
@@ -202,7 +202,7 @@
     if chosen is None or now_ms < max(state.retry_at_ms, state.may_order_from_ms):
         return None
     state.chosen = chosen
-    free = not state.is_holder and now_ms - state.duty_changed_ms >= DUTY_FREE_MS
+    free = not state.is_holder and now_ms - state.duty_changed_ms >= DUTY_EXPIRY_MS
     return TakeDuty(state.duty_revision if free else None)
 
 
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -59,7 +59,7 @@
     state = roles.RoleState("m", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
     roles.step(state, roles.DutyHeldByOther(at(19)), at_ms)
-    free_ms = at_ms + roles.DUTY_FREE_MS
+    free_ms = at_ms + roles.DUTY_EXPIRY_MS
     command, at_ms = look_until(state, context.engines, free_ms, free_ms + 10_000)
     assert command == roles.TakeDuty(at(19)), command
     assert roles.step(state, roles.DutyTaken(at(25), took_over=True), at_ms) is None
