--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -58,7 +58,7 @@
 TURN_NODES = 4
 TURN_MS = 2000
 # Pause after a failed try at the duty.
-DUTY_AGAIN_MS = 4000
+DUTY_RETRY_MS = 4000
 
 
 @attrs.define
@@ -172,15 +172,15 @@
             state.is_holder = False
             if revision != state.duty_revision:
                 state.duty_revision, state.duty_changed_ms = revision, now_ms
-            state.retry_at_ms = now_ms + DUTY_AGAIN_MS
+            state.retry_at_ms = now_ms + DUTY_RETRY_MS
         case DutyUnknown():
-            state.retry_at_ms = now_ms + DUTY_AGAIN_MS
+            state.retry_at_ms = now_ms + DUTY_RETRY_MS
         case StoreRestored():
             _forget_duty(state, now_ms)
         case OrderAnswered(instance, accepted):
             if accepted is False:
                 state.orders.pop(instance, None)
-                state.retry_at_ms = now_ms + DUTY_AGAIN_MS
+                state.retry_at_ms = now_ms + DUTY_RETRY_MS
             elif instance in state.orders:
                 state.orders[instance].unanswered = accepted is None
     return None
