--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -46,7 +46,7 @@
 # and more of a change cost more than reading beside the runs (one day with two engines left).
 LEAST_DECODERS = 2
 # An order without an answer may still be carried out for this long.
-ORDER_OPEN_MS = 13_000
+ORDER_TIMEOUT_MS = 13_000
 # It is given again after this pause, to the same endpoint, where it changes nothing twice.
 ORDER_AGAIN_MS = 2500
 # A duty whose object did not change for this long is free: all orders of its holder are over.
@@ -211,7 +211,7 @@
     shown = {endpoint.instance: endpoint.role for endpoint in endpoints}
     for instance, order in list(state.orders.items()):
         done = shown.get(instance) in (None, order.role)
-        if done or now_ms - order.ordered_ms >= ORDER_OPEN_MS:
+        if done or now_ms - order.ordered_ms >= ORDER_TIMEOUT_MS:
             del state.orders[instance]
 
 
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -41,7 +41,7 @@
     assert order.role is Role.DECODE and order.fence == at(19).fence
     assert order.endpoint.role is Role.PREFILL
     roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), at_ms)
-    again, _ = look_until(state, context.engines, at_ms, at_ms + roles.ORDER_OPEN_MS)
+    again, _ = look_until(state, context.engines, at_ms, at_ms + roles.ORDER_TIMEOUT_MS)
     assert again is None, "a second order while the first is open"
 
 
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -112,7 +112,7 @@
 def other_waits(context):
     command, asked_ms = first_ask(context.other, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None)
-    assert asked_ms >= RESTORED_MS + roles.ORDER_OPEN_MS
+    assert asked_ms >= RESTORED_MS + roles.ORDER_TIMEOUT_MS
 
 
 @then("a confirmation that overwrote an object of the later epoch counts as taking it over")
