--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -48,7 +48,7 @@
 # An order without an answer may still be carried out for this long.
 ORDER_TIMEOUT_MS = 13_000
 # It is given again after this pause, to the same endpoint, where it changes nothing twice.
-ORDER_AGAIN_MS = 2500
+ORDER_RETRY_MS = 2500
 # A duty whose object did not change for this long is free: all orders of its holder are over.
 DUTY_EXPIRY_MS = 13_000
 # An order goes out at most this long after the duty was confirmed.
@@ -221,7 +221,7 @@
     """An endpoint that was ordered and gave no answer."""
     for endpoint in endpoints:
         order = state.orders.get(endpoint.instance)
-        if order and order.unanswered and now_ms - order.ordered_ms >= ORDER_AGAIN_MS:
+        if order and order.unanswered and now_ms - order.ordered_ms >= ORDER_RETRY_MS:
             return endpoint
     return None
 
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -90,7 +90,7 @@
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
     roles.step(state, roles.OrderAnswered(order.endpoint.instance, None), at_ms)
     command, again_ms = look_until(state, context.engines, at_ms, at_ms + 10_000)
-    assert isinstance(command, roles.TakeDuty) and again_ms - at_ms >= roles.ORDER_AGAIN_MS
+    assert isinstance(command, roles.TakeDuty) and again_ms - at_ms >= roles.ORDER_RETRY_MS
     again = roles.step(state, roles.DutyTaken(at(23), took_over=False), again_ms)
     assert (
         again.endpoint == order.endpoint
