--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -56,7 +56,7 @@
 # So many nodes ask for a duty that all see undone, each next group only when that lasts longer: one
 # of them is enough. Of 195 nodes all asked in the same half second, twice in the first ten seconds.
 GROUP_NODES = 4
-TURN_MS = 2000
+GROUP_DELAY_MS = 2000
 # Pause after a failed try at the duty.
 DUTY_RETRY_MS = 4000
 
@@ -164,7 +164,7 @@
     """The next command, or None when there is nothing to do."""
     match event:
         case EndpointsObserved(endpoints, place):
-            turn_ms = 0 if state.is_holder else place // GROUP_NODES * TURN_MS
+            turn_ms = 0 if state.is_holder else place // GROUP_NODES * GROUP_DELAY_MS
             return _look(state, endpoints, turn_ms, now_ms)
         case DutyTaken(revision, took_over):
             return _take_duty(state, revision, took_over, now_ms)
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -80,7 +80,7 @@
         asked_ms.append(now_ms)
     assert asked_ms == sorted(asked_ms), "a later one asks before an earlier one"
     assert asked_ms.count(asked_ms[0]) == roles.GROUP_NODES
-    assert asked_ms[roles.GROUP_NODES] - asked_ms[0] == roles.TURN_MS
+    assert asked_ms[roles.GROUP_NODES] - asked_ms[0] == roles.GROUP_DELAY_MS
 
 
 @then("an order without an answer is given again to the same engine, with a higher fence")
