--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -44,7 +44,7 @@
 SHORTAGE_MS = 1500
 # Endpoints that must remain to decode when one of them is to read. With fewer, the six seconds
 # and more of a change cost more than reading beside the runs (one day with two engines left).
-LEAST_DECODERS = 2
+MIN_DECODERS = 2
 # An order without an answer may still be carried out for this long.
 ORDER_TIMEOUT_MS = 13_000
 # It is given again after this pause, to the same endpoint, where it changes nothing twice.
@@ -267,7 +267,7 @@
     if len(prefillers) > (target_prefillers(len(endpoints)) if decoders else 0):
         surplus = [e for e in free if e.role is Role.PREFILL]
         return max(surplus, key=lambda e: e.instance, default=None)
-    if not prefillers and len(decoders) > LEAST_DECODERS:
+    if not prefillers and len(decoders) > MIN_DECODERS:
         spare = [e for e in free if e.role is Role.DECODE]
         return max(spare, key=lambda e: e.instance, default=None)
     return None
