--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -97,7 +97,7 @@
     """
 
     endpoints: list[ServiceEndpoint]
-    place: int = 0
+    position: int = 0
 
 
 @attrs.frozen
@@ -163,8 +163,8 @@
 def step(state: RoleState, event: Event, now_ms: int) -> Command | None:
     """The next command, or None when there is nothing to do."""
     match event:
-        case EndpointsObserved(endpoints, place):
-            turn_ms = 0 if state.is_holder else place // GROUP_NODES * GROUP_DELAY_MS
+        case EndpointsObserved(endpoints, position):
+            turn_ms = 0 if state.is_holder else position // GROUP_NODES * GROUP_DELAY_MS
             return _look(state, endpoints, turn_ms, now_ms)
         case DutyTaken(revision, took_over):
             return _take_duty(state, revision, took_over, now_ms)
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -78,8 +78,10 @@
     async def _look(self, service: str) -> None:
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
-        place = self._turns.place(f"{DUTY_KIND}/{service}")
-        event: role_core.Event = EndpointsObserved(self._directory.usable(service, now_ms), place)
+        position = self._turns.place(f"{DUTY_KIND}/{service}")
+        event: role_core.Event = EndpointsObserved(
+            self._directory.usable(service, now_ms), position
+        )
         while (command := role_core.step(state, event, self._now_ms())) is not None:
             match command:
                 case TakeDuty():
