--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -78,7 +78,7 @@
     async def _look(self, service: str) -> None:
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
-        position = self._turns.place(f"{DUTY_KIND}/{service}")
+        position = self._turns.position(f"{DUTY_KIND}/{service}")
         event: role_core.Event = EndpointsObserved(
             self._directory.usable(service, now_ms), position
         )
--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -156,7 +156,7 @@
         """Whether this node is a publisher now: it ranks first, or those before it are silent."""
         if not self.shared:
             return False
-        place = self.turns.place(kind)
+        place = self.turns.position(kind)
         if place < PUBLISHERS:
             return True
         wait_ms = self.pace.silent_ms + place // PUBLISHERS * NEXT_PUBLISHERS_MS
@@ -197,7 +197,7 @@
     def _handle(self, news: StoreNews) -> None:
         if news.kind not in self._subscribers:
             return
-        if self.turns.place(news.kind, news.sender) < self.turns.place(news.kind):
+        if self.turns.position(news.kind, news.sender) < self.turns.position(news.kind):
             self._ahead_published_ms[news.kind] = self._now_ms()
         self._epoch.observe(news.epoch)
         self._subscribers[news.kind](news)
--- a/saffronworks/forwarding/turns.py
+++ b/saffronworks/forwarding/turns.py
@@ -35,12 +35,12 @@
         self.nodes, self.first = nodes, first
         self._orders.clear()
 
-    def place(self, purpose: str, node: str | None = None) -> int:
+    def position(self, purpose: str, node: str | None = None) -> int:
         """The place of a node, this one unless named; 0 is first, an unknown node is last."""
         if purpose not in self._orders:
             others = [other for other in self.nodes if other not in self.first]
             ranked = rank_members(self.first, purpose, len(self.first))
             ranked += rank_members(others, purpose, len(others))
-            self._orders[purpose] = {name: place for place, name in enumerate(ranked)}
+            self._orders[purpose] = {name: position for position, name in enumerate(ranked)}
         order = self._orders[purpose]
         return order.get(node or self.own, len(order))
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -223,7 +223,7 @@
             feed = make_feed(own, lambda: 0)
             feed.subscribe(KIND, lambda news: None)
             feed.update_zone(cores)
-            if feed.turns.place(KIND) < PUBLISHERS:
+            if feed.turns.position(KIND) < PUBLISHERS:
                 tellers.append(own)
         assert sorted(own[0] for own in tellers) == telling, tellers
 
