--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -142,7 +142,7 @@
 
         Silence is counted from when the zone became large enough.
         """
-        self.turns.take(cores, strong_nodes(cores))
+        self.turns.update(cores, strong_nodes(cores))
         was_shared, self._nodes = self.shared, cores.keys()
         if not was_shared:
             self._ahead_published_ms = dict.fromkeys(self._subscribers, self._now_ms())
--- a/saffronworks/forwarding/turns.py
+++ b/saffronworks/forwarding/turns.py
@@ -30,7 +30,7 @@
     first: Collection[str] = ()
     _orders: dict[str, dict[str, int]] = attrs.Factory(dict)
 
-    def take(self, nodes: Collection[str], first: Collection[str] = ()) -> None:
+    def update(self, nodes: Collection[str], first: Collection[str] = ()) -> None:
         """Which nodes there are from now on."""
         self.nodes, self.first = nodes, first
         self._orders.clear()
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -325,7 +325,7 @@
         self._news.update_zone({a: node.cores for a, node in nodes.items() if node.zone == zone})
         self._state.budget.nodes = max(1, len(cores))
         self._memory.choice.cores = cores
-        self._turns.take(cores)
+        self._turns.update(cores)
         self._quarantine.take_nodes(cores)
         self._quotas.take_nodes(cores)
         self._limits.take_nodes(cores)
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -171,7 +171,7 @@
     feed = NewsFeed(Turns("a"), pace, StoreEpoch(), lambda: 0)
     feed.subscribe(KIND, lambda news: None)
     feed.update_zone({"a": 2.0} | {f"n{index}": 1.0 for index in range(MIN_SHARED_NODES)})
-    feed.turns.take(["a"])
+    feed.turns.update(["a"])
     feed._kernel = type("K", (), {"post": lambda self, name, message: posted.append(message)})()
     in_time_ms = pace.watch_wait_ms + LATE_MS
     answer = Listing((StoredObject("e1", at(2), b"told"),), at(2))
