--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -26,7 +26,7 @@
 )
 from saffronworks.forwarding.routing import RoutingTable
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import Turns
+from saffronworks.forwarding.turns import NodeOrder
 
 __all__ = ["DUTY_KIND", "RoleKeeper"]
 
@@ -47,7 +47,7 @@
         store: ObjectSource,
         calls: EndpointCalls,
         table: Callable[[], RoutingTable | None],
-        turns: Turns,
+        turns: NodeOrder,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
     ):
--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -11,7 +11,7 @@
 
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import Turns, strong_nodes
+from saffronworks.forwarding.turns import NodeOrder, strong_nodes
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
@@ -120,7 +120,9 @@
 
     name = "store-news"
 
-    def __init__(self, turns: Turns, pace: NewsPace, epoch: StoreEpoch, now_ms: Callable[[], int]):
+    def __init__(
+        self, turns: NodeOrder, pace: NewsPace, epoch: StoreEpoch, now_ms: Callable[[], int]
+    ):
         self.turns = turns
         self.pace = pace
         self._epoch = epoch
--- a/saffronworks/forwarding/turns.py
+++ b/saffronworks/forwarding/turns.py
@@ -9,7 +9,7 @@
 )
 from saffronworks.hashing import rank_members
 
-__all__ = ["Turns", "strong_nodes"]
+__all__ = ["NodeOrder", "strong_nodes"]
 
 
 def strong_nodes(cores: dict[str, float]) -> list[str]:
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class Turns:
+class NodeOrder:
     """The order of nodes for each purpose, by hash; nodes are named by their address.
 
     Those in `first` come before the others.
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -40,7 +40,7 @@
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import CALLER_SEND_BUFFER_BYTES
-from saffronworks.forwarding.turns import Turns
+from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
 from saffronworks.platform.calls import PlatformCalls
@@ -92,10 +92,10 @@
             self._directory, self._limits, settings.drain_ms, monotonic_ms
         )
         self._calls = PlatformCalls(self._eligibility)
-        self._turns = Turns(settings.peer_address)
+        self._turns = NodeOrder(settings.peer_address)
         self._memory = MemoryClient(settings.peer_address, monotonic_ms())
         self._news = NewsFeed(
-            Turns(settings.peer_address),
+            NodeOrder(settings.peer_address),
             NewsPace.within(settings.follow_within_ms),
             self._store_epoch,
             monotonic_ms,
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.role_keeper import RoleKeeper
 from saffronworks.forwarding.routing import EngineSpec, RoutingTable, Service
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import Turns
+from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.tests.endpoint_plays import (
     endpoints,
 )
@@ -207,7 +207,7 @@
     spec = EngineSpec(64, 90_000, 64, 2000)
     table = RoutingTable(1, (), {"s": Service("s", 10, spec)})
     state = roles.RoleState("n", 3000, 300, unbalanced_since_ms=-roles.EXCESS_MS)
-    turns = Turns("n", ["n"])
+    turns = NodeOrder("n", ["n"])
     keeper = RoleKeeper(
         lambda: state, directory, world, world, lambda: table, turns, StoreEpoch(), world.clock
     )
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -16,7 +16,7 @@
     StoreNews,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import Turns
+from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.tests.revisions import at
 from saffronworks.tests.zone_plays import FOLLOW_WITHIN_MS, KIND, play_zone
 
@@ -112,7 +112,7 @@
 
 
 def make_feed(own, now_ms):
-    return NewsFeed(Turns(own), NewsPace.within(FOLLOW_WITHIN_MS), StoreEpoch(), now_ms)
+    return NewsFeed(NodeOrder(own), NewsPace.within(FOLLOW_WITHIN_MS), StoreEpoch(), now_ms)
 
 
 def news(node, since, revision, **changes):
@@ -168,7 +168,7 @@
 def late_answer(context):
     posted = []
     pace = NewsPace.within(FOLLOW_WITHIN_MS)
-    feed = NewsFeed(Turns("a"), pace, StoreEpoch(), lambda: 0)
+    feed = NewsFeed(NodeOrder("a"), pace, StoreEpoch(), lambda: 0)
     feed.subscribe(KIND, lambda news: None)
     feed.update_zone({"a": 2.0} | {f"n{index}": 1.0 for index in range(MIN_SHARED_NODES)})
     feed.turns.update(["a"])
--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.ports import HistoryGone, Listing, SourceFailure, StoredObject
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import Turns
+from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
 
@@ -73,7 +73,7 @@
         self.kernel = Kernel(self.address, monotonic_ms)
         pace = NewsPace.within(FOLLOW_WITHIN_MS)
         self.epoch = StoreEpoch()
-        self.feed = NewsFeed(Turns(self.address), pace, self.epoch, monotonic_ms)
+        self.feed = NewsFeed(NodeOrder(self.address), pace, self.epoch, monotonic_ms)
         self.kernel.register(self.feed, StoreNews)
         self.kernel.post = self.post
         rng = random.Random(number)
