--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -47,7 +47,7 @@
         store: ObjectSource,
         calls: EndpointCalls,
         table: Callable[[], RoutingTable | None],
-        turns: NodeOrder,
+        node_order: NodeOrder,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
     ):
@@ -58,7 +58,7 @@
         self._store = store
         self._calls = calls
         self._table = table
-        self._turns = turns
+        self._node_order = node_order
         self._now_ms = now_ms
         self._written = 0
 
@@ -78,7 +78,7 @@
     async def _look(self, service: str) -> None:
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
-        position = self._turns.position(f"{DUTY_KIND}/{service}")
+        position = self._node_order.position(f"{DUTY_KIND}/{service}")
         event: role_core.Event = EndpointsObserved(
             self._directory.usable(service, now_ms), position
         )
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -207,9 +207,9 @@
     spec = EngineSpec(64, 90_000, 64, 2000)
     table = RoutingTable(1, (), {"s": Service("s", 10, spec)})
     state = roles.RoleState("n", 3000, 300, unbalanced_since_ms=-roles.EXCESS_MS)
-    turns = NodeOrder("n", ["n"])
+    node_order = NodeOrder("n", ["n"])
     keeper = RoleKeeper(
-        lambda: state, directory, world, world, lambda: table, turns, StoreEpoch(), world.clock
+        lambda: state, directory, world, world, lambda: table, node_order, StoreEpoch(), world.clock
     )
 
     async def look():
