--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -55,7 +55,7 @@
         avoided = frozenset(node for node in self._avoided if self.passes_over(node, now_ms))
         return next(iter(self._rank(matter, avoided)), None)
 
-    def listeners(self, matter: str, now_ms: int) -> list[str]:
+    def report_receivers(self, matter: str, now_ms: int) -> list[str]:
         """Those that hear what is under way."""
         ranked = self._rank(matter, frozenset())
         chosen = self.choose(matter, now_ms)
--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -233,7 +233,7 @@
             services = {run.service for run in self._runs.values()}
             for service in services | reported:
                 report = self._make_report(service, kernel.now_ms())
-                for planner in self.choice.listeners(service, kernel.now_ms()):
+                for planner in self.choice.report_receivers(service, kernel.now_ms()):
                     self._send(planner, report)
             reported = services
 
--- a/saffronworks/tests/features/steps/planner_choice_steps.py
+++ b/saffronworks/tests/features/steps/planner_choice_steps.py
@@ -15,14 +15,14 @@
 def census(context):
     context.choice = NodeChoice(dict(CORES))
     context.first = context.choice.choose("s", 0)
-    context.second = context.choice.listeners("s", 0)[1]
+    context.second = context.choice.report_receivers("s", 0)[1]
 
 
 @then("every node chooses the same strong one, and two of them hear the reports")
 def same(context):
     other = NodeChoice(dict(reversed(CORES.items())))
     assert context.first.startswith("strong") and other.choose("s", 0) == context.first
-    assert other.listeners("s", 0) == [context.first, context.second]
+    assert other.report_receivers("s", 0) == [context.first, context.second]
     assert context.second.startswith("strong") and context.second != context.first
 
 
@@ -30,7 +30,7 @@
 def second(context):
     assert context.choice.avoid(context.first, 0) == NODE_AVOID_MS
     assert context.choice.choose("s", 1) == context.second
-    assert context.choice.listeners("s", 1) == [context.first, context.second]
+    assert context.choice.report_receivers("s", 1) == [context.first, context.second]
     assert context.choice.choose("s", NODE_AVOID_MS) == context.first
 
 
@@ -54,5 +54,5 @@
         if name.startswith("strong"):
             choice.avoid(name, 0)
     chosen = choice.choose("s", 1)
-    assert chosen.startswith("weak") and choice.listeners("s", 1)[-1] == chosen
-    assert NodeChoice().choose("s", 0) is None and NodeChoice().listeners("s", 0) == []
+    assert chosen.startswith("weak") and choice.report_receivers("s", 1)[-1] == chosen
+    assert NodeChoice().choose("s", 0) is None and NodeChoice().report_receivers("s", 0) == []
