--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -17,7 +17,7 @@
 
 
 # Those that hear the reports of all nodes.
-LISTENERS = 2
+REPORT_RECEIVERS = 2
 
 
 @attrs.define
@@ -97,5 +97,5 @@
             if len(self._ranks) >= MOST_RANKS_KEPT:
                 self._ranks.clear()
             left = {name: has for name, has in self.cores.items() if name not in avoided}
-            self._ranks[key] = rank_members(strong_nodes(left), matter, LISTENERS)
+            self._ranks[key] = rank_members(strong_nodes(left), matter, REPORT_RECEIVERS)
         return self._ranks[key]
