--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -52,7 +52,7 @@
 
     def choose(self, matter: str, now_ms: int) -> str | None:
         """The node to ask now; None when none is left."""
-        avoided = frozenset(node for node in self._avoided if self.passes_over(node, now_ms))
+        avoided = frozenset(node for node in self._avoided if self.is_avoided(node, now_ms))
         return next(iter(self._rank(matter, avoided)), None)
 
     def report_receivers(self, matter: str, now_ms: int) -> list[str]:
@@ -61,7 +61,7 @@
         chosen = self.choose(matter, now_ms)
         return ranked if chosen is None or chosen in ranked else [*ranked, chosen]
 
-    def passes_over(self, node: str, now_ms: int) -> bool:
+    def is_avoided(self, node: str, now_ms: int) -> bool:
         """Whether a node was silent a moment ago."""
         known = self._avoided.get(node)
         return known is not None and now_ms < known.until_ms
--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -125,7 +125,7 @@
     asked = state.ring.asked(asking.ask.subject, now_ms)
     turn = hash32(asking.ask.ask_id) % max(1, len(asked))
     in_turn = asked[turn:] + asked[:turn]
-    asking.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
+    asking.left = [node for node in in_turn if not state.choice.is_avoided(node, now_ms)]
     asking.heard_all = bool(holders) and len(asking.left) == len(holders)
 
 
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -266,12 +266,12 @@
     choice = NodeChoice()
     for now_ms in (1000, 1001, 1030):
         choice.avoid("h", now_ms)
-    assert choice.passes_over("h", 1000 + NODE_AVOID_MS - 1)
+    assert choice.is_avoided("h", 1000 + NODE_AVOID_MS - 1)
     asked_ms = 1000 + NODE_AVOID_MS
-    assert not choice.passes_over("h", asked_ms)
+    assert not choice.is_avoided("h", asked_ms)
     choice.avoid("h", asked_ms)
-    assert choice.passes_over("h", asked_ms + 2 * NODE_AVOID_MS - 1)
-    assert not choice.passes_over("h", asked_ms + 2 * NODE_AVOID_MS)
+    assert choice.is_avoided("h", asked_ms + 2 * NODE_AVOID_MS - 1)
+    assert not choice.is_avoided("h", asked_ms + 2 * NODE_AVOID_MS)
 
 
 @then("each change is told once, when a request is refused and when half of the share is free")
