--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -86,7 +86,7 @@
         self._avoided[node] = _Avoided(now_ms + span_ms, span_ms)
         return span_ms
 
-    def hear(self, node: str) -> None:
+    def record_answer(self, node: str) -> None:
         """It answered."""
         self._avoided.pop(node, None)
 
--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -137,7 +137,7 @@
             if answer is None:
                 self._avoid(planner, ask)
                 return None
-            self.choice.hear(planner)
+            self.choice.record_answer(planner)
             self._answered_ms[planner] = self._now_ms()
             if isinstance(answer, MemoryQueued):
                 answer = await self._await_turn(planner, ask.request_id)
--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -105,7 +105,7 @@
         case Begun():
             _choose(state, asking, now_ms)
         case Answered(holder, answer):
-            state.choice.hear(holder)
+            state.choice.record_answer(holder)
             if answer.admitted:
                 return Admitted(holder)
             known_ms = asking.retry_after_ms
