--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -66,7 +66,7 @@
         known = self._avoided.get(node)
         return known is not None and now_ms < known.until_ms
 
-    def young(self, now_ms: int) -> bool:
+    def starting(self, now_ms: int) -> bool:
         """Whether this node has just started."""
         return now_ms < self.young_until_ms
 
@@ -75,7 +75,7 @@
 
         Asks that were sent before it was passed over count as one.
         """
-        if self.young(now_ms):
+        if self.starting(now_ms):
             self._avoided[node] = _Avoided(now_ms + YOUNG_AVOID_MS, NODE_AVOID_MS // 2)
             return YOUNG_AVOID_MS
         known = self._avoided.get(node)
