--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -46,7 +46,7 @@
     """
 
     cores: dict[str, float] = attrs.field(factory=dict, on_setattr=_forget_ranks)
-    young_until_ms: int = 0
+    starting_until_ms: int = 0
     _avoided: dict[str, _Avoided] = attrs.Factory(dict)
     _ranks: dict[tuple[str, frozenset[str]], list[str]] = attrs.Factory(dict)
 
@@ -68,7 +68,7 @@
 
     def starting(self, now_ms: int) -> bool:
         """Whether this node has just started."""
-        return now_ms < self.young_until_ms
+        return now_ms < self.starting_until_ms
 
     def avoid(self, node: str, now_ms: int) -> int:
         """It was silent: pass it over, for longer each time in a row. Returns for how long.
--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -81,7 +81,7 @@
     name = "memory-client"
 
     def __init__(self, own_address: str, now_ms: int):
-        self.choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS)
+        self.choice = NodeChoice(starting_until_ms=now_ms + YOUNG_MS)
         self.own_address = own_address
         self._kernel: Kernel | None = None
         self._answers: dict[str, list[_Answer]] = {}
--- a/saffronworks/forwarding/shares/bound.py
+++ b/saffronworks/forwarding/shares/bound.py
@@ -48,7 +48,7 @@
         self._limit_of = limit_of
         self._tell = tell
         self._note_change = note_change
-        choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
+        choice = NodeChoice(starting_until_ms=now_ms() + YOUNG_MS)
         # A holder's work is small, so all nodes share it: few subjects lose all three at once.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
         self.held = HolderState(tolerance, now_ms(), in_turn)
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -121,7 +121,7 @@
 
 @then("a node that has just started passes a silent planner over for a moment only")
 def moment_only(context):
-    choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=YOUNG_MS)
+    choice = NodeChoice({"a": 1.0, "b": 1.0}, starting_until_ms=YOUNG_MS)
     first = choice.choose("s", 0)
     assert choice.avoid(first, 0) == YOUNG_AVOID_MS
     assert choice.choose("s", YOUNG_AVOID_MS - 1) != first
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -62,7 +62,7 @@
 
     def _start(self, young):
         now_ms = self._fleet.now_ms
-        choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS if young else 0)
+        choice = NodeChoice(starting_until_ms=now_ms + YOUNG_MS if young else 0)
         choice.cores = self._fleet.cores
         # At the first start of all nothing ran before.
         began_ms = now_ms if young else -self._tolerance.window_ms
