--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -50,15 +50,15 @@
     _avoided: dict[str, _Avoided] = attrs.Factory(dict)
     _ranks: dict[tuple[str, frozenset[str]], list[str]] = attrs.Factory(dict)
 
-    def choose(self, matter: str, now_ms: int) -> str | None:
+    def choose(self, service: str, now_ms: int) -> str | None:
         """The node to ask now; None when none is left."""
         avoided = frozenset(node for node in self._avoided if self.is_avoided(node, now_ms))
-        return next(iter(self._rank(matter, avoided)), None)
+        return next(iter(self._rank(service, avoided)), None)
 
-    def report_receivers(self, matter: str, now_ms: int) -> list[str]:
+    def report_receivers(self, service: str, now_ms: int) -> list[str]:
         """Those that hear what is under way."""
-        ranked = self._rank(matter, frozenset())
-        chosen = self.choose(matter, now_ms)
+        ranked = self._rank(service, frozenset())
+        chosen = self.choose(service, now_ms)
         return ranked if chosen is None or chosen in ranked else [*ranked, chosen]
 
     def is_avoided(self, node: str, now_ms: int) -> bool:
@@ -90,12 +90,12 @@
         """It answered."""
         self._avoided.pop(node, None)
 
-    def _rank(self, matter: str, avoided: frozenset[str]) -> list[str]:
+    def _rank(self, service: str, avoided: frozenset[str]) -> list[str]:
         """The first two, by hash; kept, as it takes 0.1 ms at 60 nodes."""
-        key = (matter, avoided)
+        key = (service, avoided)
         if key not in self._ranks:
             if len(self._ranks) >= MOST_RANKS_KEPT:
                 self._ranks.clear()
             left = {name: has for name, has in self.cores.items() if name not in avoided}
-            self._ranks[key] = rank_members(strong_nodes(left), matter, REPORT_RECEIVERS)
+            self._ranks[key] = rank_members(strong_nodes(left), service, REPORT_RECEIVERS)
         return self._ranks[key]
