--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -371,7 +371,7 @@
         if self._stream is not None:
             self._stream.exchange.end()
             self._stream = None
-        if self._place.known:
+        if self._place.known_to_planner:
             self._place.tell_end(self._relay.pace(), self._state.pop_broken())
         self._place.give_back()
         if self._unused_handle is not None:
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -54,7 +54,7 @@
     node: NodeState
     job: Job
     size: RunSize
-    known: bool = False
+    known_to_planner: bool = False
     _hold: KvHold | None = None
     _load: EndpointLoad | None = None
     _tokens: int = 0
@@ -74,7 +74,7 @@
     async def ask_planner(self, command: events.AskPlanner, returned: bool) -> events.Event:
         """Ask the planner for a place, and wait for its answer."""
         memory, request = self.node.memory, self.job.request
-        self.known = True
+        self.known_to_planner = True
         ask = MemoryAsk(
             request_id=request.request_id,
             reply_to=memory.own_address,
@@ -152,7 +152,7 @@
                 self.node.spawn(calls.drop_hold, headroom)
 
     def _take(self, hold: KvHold, endpoint: ServiceEndpoint, tokens: int) -> None:
-        self._hold, self._tokens, self.known = hold, tokens, True
+        self._hold, self._tokens, self.known_to_planner = hold, tokens, True
         self._load = self.node.loads.of(endpoint.instance)
         self._load.reserved_tokens += tokens
         request_id = self.job.request.request_id
@@ -189,4 +189,4 @@
             pace.length_tokens,
         )
         self.node.memory.end(release)
-        self.known = False
+        self.known_to_planner = False
