--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -363,7 +363,7 @@
         a new ask tells that there was no room. An end told in between made it forget each run until
         the next report, and grant the same memory and the same reader again.
         """
-        if self._place.taken:
+        if self._place.held:
             self._give_up_place()
 
     def _give_up_place(self) -> None:
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -60,7 +60,7 @@
     _tokens: int = 0
 
     @property
-    def taken(self) -> bool:
+    def held(self) -> bool:
         """Whether an endpoint has reserved memory for it, or runs it."""
         return self._load is not None
 
