--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -259,7 +259,7 @@
                 endpoint, self._job.request, left_ms, hold, handle, self._relay.last_event
             )
             self._stream = StreamRun(exchange)
-            self._place.use()
+            self._place.mark_used()
             self._unused_handle = None
             head = await self._stream.head(max(1, left_ms))
             if head.success and head.signed:
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -159,7 +159,7 @@
         service, instance = self.job.service, endpoint.instance
         self.node.memory.begin(request_id, service, instance, self.size, self.owner)
 
-    def use(self) -> None:
+    def mark_used(self) -> None:
         """The request was sent with the reservation, which serves it from now on."""
         self._hold = None
 
