--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -163,7 +163,7 @@
         """The request was sent with the reservation, which serves it from now on."""
         self._hold = None
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Free what is reserved and unused."""
         if self._load is not None:
             self._load.reserved_tokens -= self._tokens
