--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -201,7 +201,7 @@
 
     async def _read_prompt(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
         event = await self._have_read(endpoint, timeout_ms)
-        self._place.tell_reading_ended(endpoint.instance, isinstance(event, events.PromptRead))
+        self._place.report_reading_ended(endpoint.instance, isinstance(event, events.PromptRead))
         return event
 
     async def _have_read(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -172,7 +172,7 @@
             self.node.spawn(self.node.calls.drop_hold, self._hold)
             self._hold = None
 
-    def tell_reading_ended(self, reader: StartId, whole: bool) -> None:
+    def report_reading_ended(self, reader: StartId, whole: bool) -> None:
         """Tell the planner that the reader is done with the prompt, well or not."""
         request_id, service = self.job.request.request_id, self.job.service
         self.node.memory.end_reading(ReadingEnded(request_id, service, reader, whole))
