--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -372,7 +372,7 @@
             self._stream.exchange.end()
             self._stream = None
         if self._place.known_to_planner:
-            self._place.tell_end(self._relay.pace(), self._state.pop_broken())
+            self._place.report_end(self._relay.pace(), self._state.pop_broken())
         self._place.release()
         if self._unused_handle is not None:
             self._node.spawn(self._node.calls.drop_handle, self._unused_handle)
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -177,7 +177,7 @@
         request_id, service = self.job.request.request_id, self.job.service
         self.node.memory.end_reading(ReadingEnded(request_id, service, reader, whole))
 
-    def tell_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
+    def report_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
         """Tell the planner that the place is free, and which endpoints failed the request."""
         request_id, service = self.job.request.request_id, self.job.service
         release = MemoryRelease(
