--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -32,7 +32,7 @@
 
 # What a place takes of an endpoint's limit: its reservation, and the stream, or the release of what
 # was not used.
-PLACE_CALLS = 2
+RESERVATION_CALLS = 2
 
 
 @attrs.frozen
@@ -103,7 +103,7 @@
     async def reserve(self, command: events.TakeHold) -> events.Event:
         """Reserve memory at an endpoint; raises Break when it gives no answer."""
         endpoint, request_id = command.endpoint, self.job.request.request_id
-        permit = await self.node.limits.acquire_permit(endpoint, request_id, PLACE_CALLS)
+        permit = await self.node.limits.acquire_permit(endpoint, request_id, RESERVATION_CALLS)
         if isinstance(permit, NoPermit):
             self.node.figures.count_send("hold", "limited")
             return events.HoldFailed(endpoint.instance, broken=False)
