--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -24,7 +24,7 @@
     PromptSize,
     Refuse,
 )
-from saffronworks.forwarding.places import Place
+from saffronworks.forwarding.places import Reservation
 from saffronworks.forwarding.planning.client import RunSize
 from saffronworks.forwarding.pools import rank_pools
 from saffronworks.forwarding.routing import EngineSpec, Route
@@ -75,7 +75,7 @@
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
     relay = StreamRelay(node, job, state, engine.tokens_per_event)
-    await _GenerationRun(node, job, state, Place(node, job, size), relay).run()
+    await _GenerationRun(node, job, state, Reservation(node, job, size), relay).run()
 
 
 def client_first_event_timeout_ms(route: Route) -> int:
@@ -90,11 +90,11 @@
         node: NodeState,
         job: Job,
         state: GenerationState,
-        place: Place,
+        reservation: Reservation,
         relay: StreamRelay,
     ):
         self._node = node
-        self._place = place
+        self._reservation = reservation
         self._relay = relay
         self._job = job
         self._state = state
@@ -109,7 +109,7 @@
             while event is not None:
                 event = await self._execute(self._decide(event))
         finally:
-            self._give_up_place()
+            self._release()
 
     def _decide(self, event: events.Event) -> events.Command:
         node, now_ms, begun = self._node, self._node.now_ms(), self._state.answer_started
@@ -180,28 +180,30 @@
                 await anyio.sleep(pause_ms / 1000)
                 return events.Waited()
             case Refuse():
-                self._give_up_place()
+                self._release()
                 await tell_refusal(self._node, self._job, command)
             case events.Cut(reason):
                 self._cut(reason)
         return None
 
     async def _ask_planner(self, command: events.AskPlanner) -> events.Event:
-        self._leave_place()
+        self._release_if_held()
         returned = self._state.returned or self._state.answer_started
-        return await self._place.ask_planner(command, returned)
+        return await self._reservation.ask_planner(command, returned)
 
     async def _ask_hold(self, command: events.TakeHold) -> events.Event:
-        self._leave_place()
+        self._release_if_held()
         try:
-            return await self._place.reserve(command)
+            return await self._reservation.reserve(command)
         except Break as broken:
             self._note_break(HOLD, command.endpoint, broken)
             return events.HoldFailed(command.endpoint.instance, broken=not broken.withheld)
 
     async def _read_prompt(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
         event = await self._have_read(endpoint, timeout_ms)
-        self._place.report_reading_ended(endpoint.instance, isinstance(event, events.PromptRead))
+        self._reservation.report_reading_ended(
+            endpoint.instance, isinstance(event, events.PromptRead)
+        )
         return event
 
     async def _have_read(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
@@ -259,7 +261,7 @@
                 endpoint, self._job.request, left_ms, hold, handle, self._relay.last_event
             )
             self._stream = StreamRun(exchange)
-            self._place.mark_used()
+            self._reservation.mark_used()
             self._unused_handle = None
             head = await self._stream.head(max(1, left_ms))
             if head.success and head.signed:
@@ -356,24 +358,24 @@
     def _note_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
         self._node.note_break(kind, self._job.request, endpoint, broken)
 
-    def _leave_place(self) -> None:
+    def _release_if_held(self) -> None:
         """Give up a place that was taken, before another one is sought.
 
         One that the planner only named is kept: the planner counts on it until it is reserved, and
         a new ask tells that there was no room. An end told in between made it forget each run until
         the next report, and grant the same memory and the same reader again.
         """
-        if self._place.held:
-            self._give_up_place()
+        if self._reservation.held:
+            self._release()
 
-    def _give_up_place(self) -> None:
+    def _release(self) -> None:
         """End the exchange, and give back what was reserved and will not be used."""
         if self._stream is not None:
             self._stream.exchange.end()
             self._stream = None
-        if self._place.known_to_planner:
-            self._place.report_end(self._relay.pace(), self._state.pop_broken())
-        self._place.release()
+        if self._reservation.known_to_planner:
+            self._reservation.report_end(self._relay.pace(), self._state.pop_broken())
+        self._reservation.release()
         if self._unused_handle is not None:
             self._node.spawn(self._node.calls.drop_handle, self._unused_handle)
             self._unused_handle = None
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -26,7 +26,7 @@
     HEADROOM_MS,
 )
 
-__all__ = ["Place", "StreamPace"]
+__all__ = ["Reservation", "StreamPace"]
 
 logger = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class Place:
+class Reservation:
     """At most one reservation at a time; `known` tells that the planner may count on it."""
 
     node: NodeState
