--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -268,14 +268,14 @@
                 await self._relay.await_first(self._stream, head.status)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_run()
+                self._job.runs.uncount_run()
             self._note_break("stream", endpoint, broken)
             if broken.withheld:
                 return events.StreamWithheld(endpoint.instance)
             silent = broken.cause is BreakCause.SILENT
             return events.StreamBroken(endpoint.instance, broken.sent, silent)
         if head.executed is Executed.NO:
-            self._job.runs.take_back_run()
+            self._job.runs.uncount_run()
         self._note_answer(endpoint, head, handle)
         return events.StreamAnswered(endpoint.instance, head)
 
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -136,7 +136,7 @@
             head = await self._exchange_with(endpoint, command.wait_ms)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_run()
+                self._job.runs.uncount_run()
                 self._release_permit()
             node.note_break(PLAIN, self._job.request, endpoint, broken)
             return Broken(endpoint.instance, broken.sent, broken.cause is BreakCause.SILENT)
@@ -144,7 +144,7 @@
             load.outstanding -= 1
             self._permit = FREE
         if head.executed is Executed.NO:
-            self._job.runs.take_back_run()
+            self._job.runs.uncount_run()
         took_ms = node.now_ms() - began_ms
         if head.success and head.signed:
             load.succeed(took_ms, node.now_ms())
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -147,7 +147,7 @@
         self.runs += 1
         self.sends += 1
 
-    def take_back_run(self) -> None:
+    def uncount_run(self) -> None:
         """It is known that the endpoint did not run the last one."""
         self.runs -= 1
 
