--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -220,7 +220,7 @@
             answer = await node.calls.prefill(endpoint, self._job.request, timeout_ms)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_read()
+                self._job.runs.uncount_read()
                 node.limits.release_permit(permit)
             self._note_break("prefill", endpoint, broken)
             tried = not broken.withheld
@@ -228,7 +228,7 @@
         finally:
             load.outstanding -= 1
         if isinstance(answer, Err):
-            self._job.runs.take_back_read()
+            self._job.runs.uncount_read()
             if not answer.err_value.asks_pause:
                 load.fail(node.now_ms())
             node.figures.count_send("prefill", "refused")
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -138,7 +138,7 @@
         """A prompt is sent to an endpoint that is to read it."""
         self.reads += 1
 
-    def take_back_read(self) -> None:
+    def uncount_read(self) -> None:
         """It is known that the endpoint did not take up the last one."""
         self.reads -= 1
 
