--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -120,7 +120,7 @@
         try:
             await self._send_on(job, table)
         finally:
-            if job.runs.none:
+            if job.runs.empty:
                 self._node.quotas.give_back(job.charge)
 
     async def _send_on(self, job: Job, table: RoutingTable) -> None:
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -152,7 +152,7 @@
         self.runs -= 1
 
     @property
-    def none(self) -> bool:
+    def empty(self) -> bool:
         """Whether no endpoint has worked on the request."""
         return not self.reads and not self.runs
 
