--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.ports import CallerReply
 from saffronworks.forwarding.quarantine.suspicions import Admission
 from saffronworks.forwarding.routing import RoutingTable
-from saffronworks.forwarding.runners import Job, NodeState, retry_after_ms, tell_refusal
+from saffronworks.forwarding.runners import Job, NodeState, retry_after_ms, send_refusal
 
 __all__ = ["Forwarder"]
 
@@ -74,7 +74,7 @@
         whose = self._node.identities.identify(request, route)
         if isinstance(whose, Refuse):
             job = Job(request, route, service, reply, table.version)
-            await tell_refusal(self._node, job, whose)
+            await send_refusal(self._node, job, whose)
             return
         request = attrs.evolve(request, organisation=whose)
         job = Job(request, route, service, reply, table.version)
@@ -106,7 +106,7 @@
         self._node.budget.count_request(job.service, now_ms)
         match self._node.quarantine.admit(job.request):
             case Admission.REFUSED:
-                await tell_refusal(self._node, job, ENDS_ENDPOINTS)
+                await send_refusal(self._node, job, ENDS_ENDPOINTS)
                 return
             case Admission.TRIAL:
                 # One endpoint at most is to end by it.
@@ -114,7 +114,7 @@
                 job = attrs.evolve(job, route=route, on_trial=True)
         charge = await self._node.quotas.admit(job.request)
         if isinstance(charge, Refuse):
-            await tell_refusal(self._node, job, charge)
+            await send_refusal(self._node, job, charge)
             return
         job = attrs.evolve(job, charge=charge)
         try:
@@ -153,4 +153,4 @@
             self._node.figures.count("cut", job.route.name, "deadline")
             job.reply.cut()
             return
-        await tell_refusal(self._node, job, Refuse(504, "deadline", not_run=False))
+        await send_refusal(self._node, job, Refuse(504, "deadline", not_run=False))
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -33,8 +33,8 @@
     Job,
     NodeState,
     relay_rest,
+    send_refusal,
     start_answer,
-    tell_refusal,
 )
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
@@ -181,7 +181,7 @@
                 return events.Waited()
             case Refuse():
                 self._release()
-                await tell_refusal(self._node, self._job, command)
+                await send_refusal(self._node, self._job, command)
             case events.Cut(reason):
                 self._cut(reason)
         return None
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -22,7 +22,7 @@
     Job,
     NodeState,
     relay_rest,
-    tell_refusal,
+    send_refusal,
 )
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import WHOLE_BODY_BYTES
@@ -66,7 +66,7 @@
             while isinstance(command, SendTo | AcquirePermit):
                 command = self._decide(await self._execute(command))
             if isinstance(command, Refuse):
-                await tell_refusal(self._node, self._job, command)
+                await send_refusal(self._node, self._job, command)
             else:
                 await self._relay()
         finally:
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -35,7 +35,7 @@
     "relay_rest",
     "retry_after_ms",
     "start_answer",
-    "tell_refusal",
+    "send_refusal",
 ]
 
 logger = logging.getLogger(__name__)
@@ -186,7 +186,7 @@
     return max(1, int(least_ms + spread * (most_ms - least_ms)))
 
 
-async def tell_refusal(node: NodeState, job: Job, refusal: Refuse) -> None:
+async def send_refusal(node: NodeState, job: Job, refusal: Refuse) -> None:
     """Give the caller our own answer, with a time to return where the request has not run."""
     now_ms = node.now_ms()
     wait_ms = None
