--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -230,7 +230,7 @@
         if isinstance(answer, Err):
             self._job.runs.uncount_read()
             if not answer.err_value.asks_pause:
-                load.fail(node.now_ms())
+                load.record_failure(node.now_ms())
             node.figures.count_send("prefill", "refused")
             logger.info(
                 "event=prefill_refused request=%s endpoint=%s reason=%s",
@@ -239,7 +239,7 @@
                 answer.err_value.reason,
             )
             return events.ReadFailed(endpoint.instance, broken=False)
-        load.succeed(node.now_ms() - began_ms, node.now_ms())
+        load.record_success(node.now_ms() - began_ms, node.now_ms())
         node.figures.count_send("prefill", "read")
         self._unused_handle = answer.ok_value
         return events.PromptRead(answer.ok_value)
--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -28,14 +28,14 @@
     updated_ms: int = 0
     no_prefill_until_ms: int = 0
 
-    def succeed(self, latency_ms: float, now_ms: int) -> None:
+    def record_success(self, latency_ms: float, now_ms: int) -> None:
         """An answer came whole."""
         self._forget(now_ms)
         self.latency_ms += SAMPLE_WEIGHT * (latency_ms - self.latency_ms)
         self.failure_share *= 1 - SAMPLE_WEIGHT
         self.circuit.succeed(now_ms)
 
-    def fail(self, now_ms: int, unreachable: bool = False) -> None:
+    def record_failure(self, now_ms: int, unreachable: bool = False) -> None:
         """A request failed; one that could not even reach the endpoint opens its circuit."""
         self._forget(now_ms)
         self.failure_share += SAMPLE_WEIGHT * (1 - self.failure_share)
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -147,11 +147,11 @@
             self._job.runs.uncount_run()
         took_ms = node.now_ms() - began_ms
         if head.success and head.signed:
-            load.succeed(took_ms, node.now_ms())
+            load.record_success(took_ms, node.now_ms())
             node.figures.count_send(PLAIN, "answered")
         else:
             if not head.asks_pause:
-                load.fail(node.now_ms())
+                load.record_failure(node.now_ms())
             node.figures.count_send(PLAIN, f"status-{head.status}")
             node.note_misdirected(endpoint, head)
             logger.info(
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -95,7 +95,7 @@
         self.figures.count_send(kind, broken.cause.value)
         if broken.withheld:
             return
-        self.loads.of(endpoint.instance).fail(self.now_ms(), broken.unreachable)
+        self.loads.of(endpoint.instance).record_failure(self.now_ms(), broken.unreachable)
         logger.info(
             "event=endpoint_failed request=%s call=%s endpoint=%s cause=%s sent=%s content=%s",
             request.request_id,
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -165,9 +165,9 @@
     context.loads = LoadTable("z")
     context.three = endpoints(3)
     for turn in range(12):
-        context.loads.of("e0").fail(turn * 100)
-        context.loads.of("e1").succeed(900.0, turn * 100)
-        context.loads.of("e2").succeed(70.0, turn * 100)
+        context.loads.of("e0").record_failure(turn * 100)
+        context.loads.of("e1").record_success(900.0, turn * 100)
+        context.loads.of("e2").record_success(70.0, turn * 100)
 
 
 @then("the sound one is first, and after a while the others are tried again")
@@ -185,9 +185,9 @@
     loads, three = LoadTable("z"), endpoints(3)
     loads.of("e1").outstanding = loads.of("e2").outstanding = 9
     assert loads.rank(three, 0)[0].instance == "e0"
-    loads.of("e0").fail(0)
+    loads.of("e0").record_failure(0)
     assert loads.rank(three, 1)[0].instance == "e0", "one ordinary failure shuts nobody out"
-    loads.of("e0").fail(2, unreachable=True)
+    loads.of("e0").record_failure(2, unreachable=True)
     assert loads.rank(three, 3)[-1].instance == "e0"
 
 
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -65,7 +65,7 @@
 def nothing_known(context):
     before, later = start_id("e0", 5), start_id("e0", 9)
     loads, plan = LoadTable("z"), PlanState(0, 90_000, 8)
-    loads.of(before).fail(0, unreachable=True)
+    loads.of(before).record_failure(0, unreachable=True)
     plan.shuns.fail(before, 0)
     plan.full_until_ms[before] = 5000
     plan.reading.readers = {before: "z", later: "z"}
