--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -35,7 +35,7 @@
         self._began_ms = began_ms
         self._usual_left_ms: dict[str, int] = {}
 
-    def take_table(self, table: RoutingTable) -> bool:
+    def apply_table(self, table: RoutingTable) -> bool:
         """Put a version in force; False when one as new is in force already."""
         if self.table is not None and table.version <= self.table.version:
             return False
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -339,7 +339,7 @@
 
     def _take_table(self, table: RoutingTable) -> bool:
         self._callers.keep_idle(table.limits.idle_timeout_ms / 1000)
-        taken = self._forwarder.take_table(table)
+        taken = self._forwarder.apply_table(table)
         if taken:
             self._quotas.take_table(table)
         self._share_connections()
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -235,12 +235,12 @@
 @given("a forwarder with version five in force")
 def five(context):
     context.forwarder = Forwarder(Mock(), 0)
-    assert context.forwarder.take_table(RoutingTable(5, (), {}))
+    assert context.forwarder.apply_table(RoutingTable(5, (), {}))
 
 
 @then("version four is not taken, and version six is")
 def only_newer(context):
-    assert not context.forwarder.take_table(RoutingTable(4, (), {}))
-    assert not context.forwarder.take_table(RoutingTable(5, (), {}))
-    assert context.forwarder.take_table(RoutingTable(6, (), {}))
+    assert not context.forwarder.apply_table(RoutingTable(4, (), {}))
+    assert not context.forwarder.apply_table(RoutingTable(5, (), {}))
+    assert context.forwarder.apply_table(RoutingTable(6, (), {}))
     assert context.forwarder.table.version == 6
--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -214,7 +214,7 @@
         forwarder = Forwarder(make_node(script, streams), 0)
         only = route(timeout_ms=TIMEOUT_MS, target_ms=20, max_attempts=1, streams=streams)
         service = Service("s", 9, ENGINE if streams else None)
-        forwarder.take_table(RoutingTable(1, (only,), {"s": service}))
+        forwarder.apply_table(RoutingTable(1, (only,), {"s": service}))
         results = []
         for number in range(requests):
             results.append(await ask(forwarder, f"r{number}"))
