--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.planning.messages import (
     LiveRun,
     MemoryAsk,
--- a/saffronworks/forwarding/shares/bound.py
+++ b/saffronworks/forwarding/shares/bound.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.asks import Answer, Ask, GivenBack, RunAgain
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -7,9 +7,9 @@
 
 from saffronworks.bundles import Role
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.client import MemoryClient, RunSize
 from saffronworks.forwarding.planning.service import MemoryPlanner
--- a/saffronworks/tests/features/steps/planner_choice_steps.py
+++ b/saffronworks/tests/features/steps/planner_choice_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.tuning import (
     NODE_AVOID_MOST_MS,
     NODE_AVOID_MS,
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -8,7 +8,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.asks import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.bounds import Limit
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.asks import Answer, GivenBack
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -2,7 +2,7 @@
 
 import time
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.asks import Answer, Ask
