--- a/saffronworks/forwarding/node_choice.py
+++ b/saffronworks/forwarding/node_choice.py
@@ -4,13 +4,13 @@
 
 import attrs
 
+from saffronworks.forwarding.node_order import strong_nodes
 from saffronworks.forwarding.tuning import (
     MOST_RANKS_KEPT,
     NODE_AVOID_MOST_MS,
     NODE_AVOID_MS,
     YOUNG_AVOID_MS,
 )
-from saffronworks.forwarding.turns import strong_nodes
 from saffronworks.hashing import rank_members
 
 __all__ = ["NodeChoice"]
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -10,6 +10,7 @@
 from saffronworks.forwarding import role_core
 from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import (
     Conflict,
     EndpointCalls,
@@ -26,7 +27,6 @@
 )
 from saffronworks.forwarding.routing import RoutingTable
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import NodeOrder
 
 __all__ = ["DUTY_KIND", "RoleKeeper"]
 
--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -9,9 +9,9 @@
 
 import attrs
 
+from saffronworks.forwarding.node_order import NodeOrder, strong_nodes
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import NodeOrder, strong_nodes
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -23,6 +23,7 @@
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.identity import Identities
 from saffronworks.forwarding.loads import LoadTable
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.planning import messages as planning_messages
 from saffronworks.forwarding.planning.client import MemoryClient
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -40,7 +41,6 @@
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import CALLER_SEND_BUFFER_BYTES
-from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
 from saffronworks.platform.calls import PlatformCalls
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -7,11 +7,11 @@
 from saffronworks.bundles import Role
 from saffronworks.forwarding import role_core as roles
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import StoredObject
 from saffronworks.forwarding.role_keeper import RoleKeeper
 from saffronworks.forwarding.routing import EngineSpec, RoutingTable, Service
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.tests.endpoint_plays import (
     endpoints,
 )
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -3,6 +3,7 @@
 import anyio
 from behave import then
 
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_news import (
     LATE_MS,
@@ -16,7 +17,6 @@
     StoreNews,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.tests.revisions import at
 from saffronworks.tests.zone_plays import FOLLOW_WITHIN_MS, KIND, play_zone
 
--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -7,10 +7,10 @@
 
 from saffronworks.clocks import monotonic_ms
 from saffronworks.forwarding.followers import Follower
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import HistoryGone, Listing, SourceFailure, StoredObject
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import NodeOrder
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
 
