--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -24,9 +24,9 @@
     PromptSize,
     Refuse,
 )
-from saffronworks.forwarding.places import Reservation
 from saffronworks.forwarding.planning.client import RunSize
 from saffronworks.forwarding.pools import rank_pools
+from saffronworks.forwarding.reservations import Reservation
 from saffronworks.forwarding.routing import EngineSpec, Route
 from saffronworks.forwarding.runners import (
     HOLD,
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.event_streams import EventSequence
 from saffronworks.forwarding.generation_state import GenerationState
 from saffronworks.forwarding.messages import AnswerHead, EventMark
-from saffronworks.forwarding.places import StreamPace
+from saffronworks.forwarding.reservations import StreamPace
 from saffronworks.forwarding.runners import Job, NodeState, start_answer
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
 from saffronworks.forwarding.generation_state import Delivered
 from saffronworks.forwarding.messages import CallerRequest, KvHold, Refuse
-from saffronworks.forwarding.places import StreamPace
+from saffronworks.forwarding.reservations import StreamPace
 from saffronworks.forwarding.routing import Route
 from saffronworks.forwarding.runners import Job
 from saffronworks.forwarding.stream_relays import StreamRelay
