--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -1,9 +1,9 @@
-"""Decisions on one generation: reserve memory, read the prompt, stream, go on after a break.
+"""State machine of one generation: reserve memory, prefill, stream, resume after a failure.
 
-A decode endpoint's memory is reserved first, so that no prompt is read whose result finds no
-room. `step(state, event, pools, budget, now_ms)` gives the next command. What is legal depends on
-what the caller has: each way in which a request can end is decided in two functions, one for before
-the first byte of an answer and one for after it, so that none is taken at the wrong time.
+Memory at a decode endpoint is reserved before the prefill, so that every prefilled prompt has room
+there. `step(state, event, pools, budget, now_ms)` returns the next command. Which commands are
+valid depends on what was already sent to the caller. Two functions map each result to a command,
+one before the first byte of the answer and one after it.
 """
 
 import attrs
@@ -64,20 +64,20 @@
 
 @attrs.frozen
 class _Serve:
-    """An endpoint has a stream for the caller."""
+    """An endpoint has started a stream for the caller."""
 
     head: AnswerHead
 
 
 @attrs.frozen
 class _GiveUp:
-    """No further run; `failure` is an endpoint's own signed word on the request."""
+    """No endpoint is tried any more; `failure` is the signed error response of an endpoint."""
 
     refusal: Refuse
     failure: AnswerHead | None = None
 
 
-# What is to be done, whatever the caller has by now.
+# The outcome of a step, before it is mapped to a command by what the caller has received.
 _Result = AttemptCommand | _Serve | _GiveUp
 
 
@@ -89,7 +89,7 @@
     now_ms: int,
     denial: Refuse | None = None,
 ) -> Command:
-    """The next command; `barred`: no endpoint is to get the request any more, and why."""
+    """Return the next command. A `denial` forbids any further attempt and is sent instead."""
     result = _advance(state, event, pools, budget, now_ms)
     if denial is not None and isinstance(result, AttemptCommand):
         result = _GiveUp(denial)
@@ -99,7 +99,7 @@
 
 
 def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | StartCommand:
-    """Nothing is out: the caller gets the head of a stream, of a failure, or our own answer."""
+    """Nothing was sent yet: send the head of a stream or of a failure, or a refusal."""
     match result:
         case _Serve(head):
             state.delivered = Delivered.STREAM
@@ -115,10 +115,10 @@
 
 
 def _after_first_byte(result: _Result) -> AttemptCommand | FollowUpCommand:
-    """An answer is out: only events that follow, or a cut, tell the caller the truth.
+    """The answer has started: only further events of the stream or a closed connection may follow.
 
-    Neither our own answer nor an endpoint's failure can be told any more: its bytes would stand
-    behind the events, and the good end after them would make a short stream look whole.
+    The bytes of a refusal or of an endpoint's failure would be appended to the events, and the
+    proper end after them would make a truncated stream look complete.
     """
     match result:
         case _Serve():
@@ -136,33 +136,33 @@
             return _step_stream(state, event, pools, now_ms)
         case HoldTaken(hold):
             state.hold = hold
-            return _read(state, pools, budget, now_ms)
+            return _prefill(state, pools, budget, now_ms)
         case PromptRead(handle):
             state.handle = handle
-            return _stream(state, pools, budget, now_ms)
+            return _open_stream(state, pools, budget, now_ms)
         case ReadFailed(instance, broken, sent):
             if not sent:
                 state.reads -= 1
             state.failed.add(instance)
             if broken:
                 state.broken.add(instance)
-            return _read(state, pools, budget, now_ms)
-    return _step_place(state, event, pools, now_ms)
+            return _prefill(state, pools, budget, now_ms)
+    return _step_reservation(state, event, pools, now_ms)
 
 
-def _step_place(
+def _step_reservation(
     state: GenerationState,
     event: Begin | PlanGranted | PlanRefused | PlanSilent | Waited | HoldFailed,
     pools: Pools,
     now_ms: int,
 ) -> _Result:
-    """On the way to a place in a decode endpoint's memory."""
+    """Handle the events that lead to a reservation at a decode endpoint."""
     match event:
         case Begin():
-            return _plan(state, pools, now_ms)
+            return _ask_planner(state, pools, now_ms)
         case PlanGranted(instance, reader):
             state.granted, state.reader = instance, reader
-            return _take_place(state, instance, pools, now_ms)
+            return _take_granted(state, instance, pools, now_ms)
         case PlanRefused(retry_after_ms):
             return _GiveUp(Refuse(503, "memory-full", True, retry_after_ms or None))
         case PlanSilent():
@@ -175,8 +175,8 @@
             state.asked.add(instance)
             if state.granted is not None:
                 state.granted = None
-                return _plan(state, pools, now_ms)
-    return _ask(state, pools, now_ms)
+                return _ask_planner(state, pools, now_ms)
+    return _take_next(state, pools, now_ms)
 
 
 def _step_stream(
@@ -185,68 +185,68 @@
     pools: Pools,
     now_ms: int,
 ) -> _Result:
-    """Once the request was sent to a decode endpoint."""
+    """Handle the events after the request was sent to a decode endpoint."""
     match event:
         case StreamAnswered(instance, head):
-            return _take_answer(state, instance, head, pools, now_ms)
+            return _step_answer(state, instance, head, pools, now_ms)
         case StreamBroken(instance, sent, silent):
             state.mark_broken(instance)
             if not sent:
                 return _redirect(state, pools, now_ms, "unreachable")
             state.runs += 1
             late = Refuse(504, "no-answer-in-time", not_run=False)
-            return _go_on(state, pools, now_ms, _GiveUp(late) if silent else _broken())
+            return _retry_run(state, pools, now_ms, _GiveUp(late) if silent else _broken_answer())
         case StreamWithheld(instance):
             state.failed.add(instance)
             return _redirect(state, pools, now_ms, "endpoint-leaves")
         case RelayBroken(instance, position_known):
             state.mark_broken(instance)
             if state.delivered is Delivered.FAILURE:
-                return _broken()
+                return _broken_answer()
             if not position_known:
                 return _GiveUp(Refuse(502, "no-event-id", not_run=False))
-            return _go_on(state, pools, now_ms, _broken())
+            return _retry_run(state, pools, now_ms, _broken_answer())
 
 
-def _broken(failure: AnswerHead | None = None) -> _GiveUp:
+def _broken_answer(failure: AnswerHead | None = None) -> _GiveUp:
     return _GiveUp(Refuse(502, "broken-answer", not_run=False), failure)
 
 
-def _plan(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
-    """Ask the planner, a few times at most; then the endpoints themselves."""
+def _ask_planner(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
+    """Ask the planner, up to a limit; after that, ask the endpoints directly."""
     patience_ms = int(state.max_wait_at_ms - now_ms)
     blocked = bool(pools.decoder_blocks)
     if not state.plans_left or patience_ms <= 0 or not pools.decoders or blocked:
-        return _ask(state, pools, now_ms)
+        return _take_next(state, pools, now_ms)
     state.plans_left -= 1
     in_time_ms = state.arrived_ms + state.target_ms - IN_TIME_MS - now_ms
     avoid = tuple(sorted(state.asked | state.failed | pools.eligibility.blocks.keys()))
     return AskPlanner(in_time_ms, patience_ms, avoid, state.pop_broken())
 
 
-def _hold_ms(state: GenerationState, now_ms: int) -> int:
-    """How long a reservation is asked for; the deadline may be a moment past already."""
+def _hold_ttl_ms(state: GenerationState, now_ms: int) -> int:
+    """Return the requested lifetime of a hold, at least 1 ms as the deadline may have passed."""
     return min(HOLD_MS, state.hold_most_ms, max(1, state.deadline_at_ms - now_ms))
 
 
-def _take_place(state: GenerationState, instance: StartId, pools: Pools, now_ms: int) -> _Result:
-    """Reserve where the planner said; elsewhere if that endpoint is not usable here."""
+def _take_granted(state: GenerationState, instance: StartId, pools: Pools, now_ms: int) -> _Result:
+    """Take a hold at the granted endpoint, or at another one if it is not usable from this node."""
     place = next((e for e in pools.decoders if e.instance == instance), None)
     if place is None:
         state.granted = None
-        return _ask(state, pools, now_ms)
-    return TakeHold(place, state.planned_tokens, 0, _hold_ms(state, now_ms))
+        return _take_next(state, pools, now_ms)
+    return TakeHold(place, state.planned_tokens, 0, _hold_ttl_ms(state, now_ms))
 
 
-def _ask(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
-    """The best decode endpoint not yet asked in this round."""
+def _take_next(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
+    """Take a hold at the best decode endpoint that was not asked in this round."""
     if now_ms >= state.deadline_at_ms:
-        return _GiveUp(_late(state))
+        return _GiveUp(_deadline_refusal(state))
     for endpoint in pools.decoders:
         if pools.blocked(endpoint.instance):
             continue
         if endpoint.instance not in state.asked | state.failed:
-            ttl_ms = _hold_ms(state, now_ms)
+            ttl_ms = _hold_ttl_ms(state, now_ms)
             return TakeHold(endpoint, state.tokens, state.headroom_tokens, ttl_ms)
     if blocks := pools.decoder_blocks:
         refusal = refuse_blocked(blocks)
@@ -264,18 +264,19 @@
     return Refuse(502 if state.runs else 503, reason, not_run=state.runs == 0)
 
 
-def _late(state: GenerationState) -> Refuse:
+def _deadline_refusal(state: GenerationState) -> Refuse:
     return Refuse(504 if state.runs else 503, "deadline", not_run=state.runs == 0)
 
 
-def _read(state: GenerationState, pools: Pools, budget: RetryBudget, now_ms: int) -> _Result:
-    """A prefill endpoint for the prompt, unless the decode endpoint reads it by itself.
+def _prefill(state: GenerationState, pools: Pools, budget: RetryBudget, now_ms: int) -> _Result:
+    """Send the prompt to a prefill endpoint, if any.
 
-    It does where the planner said so, and where there is no other.
+    The decode endpoint prefills by itself where the planner chose it or no prefill endpoint is
+    usable.
     """
     assert state.hold is not None
     if state.reader == state.hold.endpoint.instance:
-        return _stream(state, pools, budget, now_ms)
+        return _open_stream(state, pools, budget, now_ms)
     left_ms = min(state.hold.until_ms, state.deadline_at_ms) - now_ms
     named_first = sorted(pools.prefillers, key=lambda e: e.instance != state.reader)
     for endpoint in named_first:
@@ -285,10 +286,10 @@
             break
         state.reads += 1
         return ReadPrompt(endpoint, min(PREFILL_TIMEOUT_MS, left_ms))
-    return _stream(state, pools, budget, now_ms)
+    return _open_stream(state, pools, budget, now_ms)
 
 
-def _stream(state: GenerationState, pools: Pools, budget: RetryBudget, now_ms: int) -> _Result:
+def _open_stream(state: GenerationState, pools: Pools, budget: RetryBudget, now_ms: int) -> _Result:
     assert state.hold is not None
     decoder = state.hold.endpoint
     if all(decoder.instance != usable.instance for usable in pools.decoders):
@@ -299,7 +300,7 @@
     return OpenStream(decoder)
 
 
-def _take_answer(
+def _step_answer(
     state: GenerationState, instance: StartId, head: AnswerHead, pools: Pools, now_ms: int
 ) -> _Result:
     if head.executed is Executed.NO and head.asks_pause:
@@ -314,19 +315,19 @@
         return _Serve(head)
     state.mark_broken(instance)
     signed = head.signed and not promises_not_run(head.status)
-    return _go_on(state, pools, now_ms, _broken(head if signed else None))
+    return _retry_run(state, pools, now_ms, _broken_answer(head if signed else None))
 
 
 def _redirect(state: GenerationState, pools: Pools, now_ms: int, reason: str) -> _Result:
-    """No endpoint runs it: start over, a few times, while it is worth it."""
+    """The request was not executed: start over, up to `MOST_REDIRECTS` times."""
     state.redirects += 1
     if state.redirects > MOST_REDIRECTS:
         return _GiveUp(_refusal(state, reason))
     return _start_over(state, pools, now_ms)
 
 
-def _go_on(state: GenerationState, pools: Pools, now_ms: int, otherwise: _GiveUp) -> _Result:
-    """After a run that failed: another run where that is allowed, else `otherwise`."""
+def _retry_run(state: GenerationState, pools: Pools, now_ms: int, otherwise: _GiveUp) -> _Result:
+    """Start another run after a failed one where that is allowed, else return `otherwise`."""
     left_ms = state.deadline_at_ms - now_ms
     if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_LEAST_LEFT_MS:
         return _start_over(state, pools, now_ms)
@@ -338,4 +339,4 @@
     state.handle = None
     state.asked.clear()
     state.granted = state.reader = None
-    return _plan(state, pools, now_ms)
+    return _ask_planner(state, pools, now_ms)
