--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -1,4 +1,4 @@
-"""What a generation has been through, and what its core chooses from."""
+"""State of one generation, and the ranked endpoint pools that its core chooses from."""
 
 import enum
 
@@ -24,38 +24,38 @@
 
 
 def planned_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
-    """Memory to reserve where the plan provides for the growth."""
+    """Return the tokens to reserve where the planner leaves room for answers that grow."""
     return min(prompt.prompt_tokens + int(PLANNED_RESERVE * prompt.likely_tokens), capacity_tokens)
 
 
 def reserve_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
-    """Memory to reserve: the prompt and a likely length of the answer, the most at most."""
+    """Return the tokens to reserve: the prompt's, and the likely ones of the answer."""
     answer = min(prompt.most_answer_tokens, int(HINT_RESERVE * prompt.likely_tokens))
     return min(prompt.prompt_tokens + answer, capacity_tokens)
 
 
 @attrs.frozen
 class Pools:
-    """The usable endpoints of both roles, best first, and which of them are blocked for now."""
+    """The usable endpoints of both roles, best first; `eligibility` has the blocked ones."""
 
     decoders: list[ServiceEndpoint]
     prefillers: list[ServiceEndpoint]
     eligibility: Eligibility = ALL_ELIGIBLE
 
     def blocked(self, instance: StartId) -> bool:
-        """Whether an endpoint may not be sent a request for now."""
+        """Return True while no request may be sent to an endpoint."""
         return instance in self.eligibility.blocks
 
     @property
     def decoder_blocks(self) -> list[Block]:
-        """Why no decode endpoint may be sent a request; empty where one may, or none is there."""
+        """The blocks of all decode endpoints; empty if any is unblocked or there is none."""
         blocks = self.eligibility.blocks
         found = [blocks[e.instance] for e in self.decoders if self.blocked(e.instance)]
         return found if len(found) == len(self.decoders) else []
 
 
 class Delivered(enum.Enum):
-    """What of an answer the caller has; it never goes back."""
+    """The part of an answer that was sent to the caller; it never returns to `NOTHING`."""
 
     NOTHING = enum.auto()
     STREAM = enum.auto()
@@ -64,13 +64,14 @@
 
 @attrs.define
 class GenerationState:
-    """What happened so far. `runs` counts streams that may have been executed.
-
-    `headroom_tokens` must be free beside the reservation; callers leave when `gives_up_ms` after
-    their arrival no event has come. `planned_tokens` are reserved where the planner of the
-    service's memory granted a place; `plans_left` is how often it may still be asked. Endpoints in
-    `failed` are not used again for this request; those in `broken` did more than refuse it, which
-    the planner is to hear once.
+    """State of one generation. `runs` counts streams that may have been executed.
+
+    `headroom_tokens` must be free beside the reservation. Callers disconnect if no event arrives
+    within `first_event_timeout_ms`. `planned_tokens` are reserved at an endpoint that the planner
+    granted; `plans_left` limits further requests to the planner. `returned` marks a caller that was
+    refused before. `reader` is the prefill endpoint that the planner chose. Endpoints in `asked`
+    are not asked again in this round, those in `failed` not again for this request; those in
+    `broken` failed beyond refusing it and are reported to the planner once.
     """
 
     service: str
@@ -100,24 +101,24 @@
     broken: set[StartId] = attrs.Factory(set)
 
     def mark_broken(self, instance: StartId) -> None:
-        """An endpoint gave no answer, or a wrong one."""
+        """Record an endpoint that gave no answer, or an invalid one."""
         self.failed.add(instance)
         self.broken.add(instance)
 
     def pop_broken(self) -> tuple[StartId, ...]:
-        """What the planner has not heard yet."""
+        """Return the broken endpoints that were not yet reported to the planner."""
         broken = tuple(sorted(self.broken))
         self.broken.clear()
         return broken
 
     @property
     def answer_started(self) -> bool:
-        """Whether the caller has the start of an answer."""
+        """True once the start of an answer was sent to the caller."""
         return self.delivered is not Delivered.NOTHING
 
     @property
     def max_wait_at_ms(self) -> float:
-        """When waiting for memory has no more use, as the caller is about to leave."""
+        """The latest time to wait for memory until; after it the caller is about to disconnect."""
         if self.answer_started:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
         first_event_timeout_ms = min(
@@ -127,7 +128,7 @@
 
     @property
     def waits_until_ms(self) -> float:
-        """Until when a request that finds no memory waits for it."""
+        """The time until which a request waits for memory; a first refusal is sent early."""
         if self.answer_started or self.returned:
             return self.max_wait_at_ms
         return self.arrived_ms + PATIENCE_SHARE * self.target_ms
