--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -1,4 +1,4 @@
-"""What happens to a generation, and what is to be done next: events and commands of its core."""
+"""Events and commands of the generation state machine."""
 
 import attrs
 
@@ -38,12 +38,12 @@
 
 @attrs.frozen
 class Waited:
-    """The pause between two rounds of asking is over."""
+    """The pause before the next round of hold requests is over."""
 
 
 @attrs.frozen
 class PlanGranted:
-    """The planner gave a place at this endpoint, and named the one that is to read."""
+    """The planner granted memory at `instance`, and chose `reader` for the prefill."""
 
     instance: StartId
     reader: StartId | None = None
@@ -51,14 +51,14 @@
 
 @attrs.frozen
 class PlanRefused:
-    """The planner foresees no place in time; 0 leaves the time to return open."""
+    """The planner expects no free memory in time; `retry_after_ms` 0 means no retry time."""
 
     retry_after_ms: int
 
 
 @attrs.frozen
 class PlanSilent:
-    """There is no planner now: go on without."""
+    """The planner gave no answer; the request continues without one."""
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class HoldFailed:
-    """A decode endpoint has no room, or (`broken`) gave no answer."""
+    """A decode endpoint rejected the hold, or (`broken`) gave no answer."""
 
     instance: StartId
     broken: bool
@@ -78,16 +78,16 @@
 
 @attrs.frozen
 class PromptRead:
-    """A prefill endpoint read the prompt."""
+    """A prefill endpoint read the prompt; `handle` names its KV cache entry."""
 
     handle: KvHandle
 
 
 @attrs.frozen
 class ReadFailed:
-    """The prompt was not read there: it was refused, or (`broken`) got no answer.
+    """A prefill endpoint rejected the prompt, or (`broken`) gave no answer.
 
-    `sent` is false where no call was made: its limit left no room, or it wants no more requests.
+    `sent` is false where no call was made: its rate limit was reached, or it accepts no requests.
     """
 
     instance: StartId
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class StreamAnswered:
-    """A decode endpoint answered; of a success its first bytes are at hand."""
+    """A decode endpoint answered; after a success the first part of its body is received as well."""
 
     instance: StartId
     head: AnswerHead
@@ -105,7 +105,10 @@
 
 @attrs.frozen
 class StreamBroken:
-    """No answer came; `sent` tells whether the endpoint may have seen the request."""
+    """A decode endpoint gave no answer. `sent`: it may have received the request.
+
+    `silent`: the answer timed out.
+    """
 
     instance: StartId
     sent: bool
@@ -114,14 +117,14 @@
 
 @attrs.frozen
 class StreamWithheld:
-    """The request was not sent: the endpoint wants no more of them."""
+    """The request was not sent, as the endpoint accepts no more requests."""
 
     instance: StartId
 
 
 @attrs.frozen
 class RelayBroken:
-    """The stream ended early; `position_known` says that the id of its last event is known."""
+    """The stream broke off; `position_known` says that the id of its last event is known."""
 
     instance: StartId
     position_known: bool
@@ -129,7 +132,7 @@
 
 @attrs.frozen
 class AskPlanner:
-    """Ask the planner for a place, and wait for it at most this long."""
+    """Ask the planner for memory, and wait for the grant for up to `patience_ms`."""
 
     in_time_ms: int
     patience_ms: int
@@ -139,7 +142,7 @@
 
 @attrs.frozen
 class TakeHold:
-    """Reserve memory at this endpoint, if the headroom is free there too."""
+    """Reserve memory at an endpoint, provided that the headroom is free there as well."""
 
     endpoint: ServiceEndpoint
     tokens: int
@@ -149,7 +152,7 @@
 
 @attrs.frozen
 class ReadPrompt:
-    """Have the prompt read at this endpoint."""
+    """Send the prompt to a prefill endpoint."""
 
     endpoint: ServiceEndpoint
     timeout_ms: int
@@ -157,40 +160,40 @@
 
 @attrs.frozen
 class OpenStream:
-    """Send the request to the endpoint of the hold, with the handle if there is one."""
+    """Send the request to the endpoint of the hold, with the KV handle if there is one."""
 
     endpoint: ServiceEndpoint
 
 
 @attrs.frozen
 class Wait:
-    """Look again after this pause."""
+    """Pause, then start another round of hold requests."""
 
     pause_ms: int
 
 
 @attrs.frozen
 class StartStream:
-    """Send the caller the head of a stream, and its events as they come."""
+    """Send the head of a stream to the caller, then its events as they arrive."""
 
     head: AnswerHead
 
 
 @attrs.frozen
 class RelayFailure:
-    """Give the caller the failure of an endpoint, as it came."""
+    """Send the error response of an endpoint to the caller unchanged."""
 
     head: AnswerHead
 
 
 @attrs.frozen
 class ContinueStream:
-    """Send on the events of another run: they follow those that the caller has."""
+    """Send the events of another run, which continue those already sent."""
 
 
 @attrs.frozen
 class Cut:
-    """Close the caller's connection: the answer began and can't be finished."""
+    """Close the caller's connection, as the answer started and can't be completed."""
 
     reason: str
 
@@ -210,10 +213,10 @@
     | StreamWithheld
     | RelayBroken
 )
-# On the way to a run; legal at any time.
+# Commands that lead to an attempt at an endpoint; valid at any time.
 AttemptCommand = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
-# Legal only while nothing of an answer is out: each sends a head.
+# Each sends the head of an answer; valid only while none was sent.
 StartCommand = Refuse | StartStream | RelayFailure
-# Legal only once a stream is out: none sends a head, and nothing but its own events goes on.
+# None sends a head; valid only after a stream has started.
 FollowUpCommand = ContinueStream | Cut
 Command = AttemptCommand | StartCommand | FollowUpCommand
