--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -1,8 +1,9 @@
-"""Decisions on one plain request: where it goes, when again, what the caller is told.
+"""State machine of one plain request: choice of an endpoint, retries and the final answer.
 
-`step(state, event, ranked, budget, now_ms)` gives the next command. A request that may not run
-twice is sent again only after an endpoint said that it did not run it, or when no byte left. To an
-endpoint that names a limit it goes only with a permit; without one to the next best, at once.
+`step(state, event, ranked, budget, now_ms)` returns the next command. A request that may not run
+twice is sent again only if the endpoint said that it did not execute it, or if no byte was sent.
+An endpoint with a rate limit needs a permit; without one the request goes to the next best
+endpoint at once.
 """
 
 import attrs
@@ -47,7 +48,7 @@
 
 
 def promises_not_run(status: int) -> bool:
-    """Whether callers take this status as a promise that the request never ran."""
+    """Return True if callers take this status as a promise that the request was not executed."""
     return status in _NOT_RUN_STATUSES
 
 
@@ -76,14 +77,14 @@
 
 @attrs.frozen
 class Permitted:
-    """The request may be sent to an endpoint that names a limit."""
+    """A permit to send the request to a rate-limited endpoint was acquired."""
 
     instance: StartId
 
 
 @attrs.frozen
 class NotPermitted:
-    """The limit of an endpoint is used up; there may be room after `after_ms`."""
+    """The rate limit of an endpoint was reached; requests may be accepted after `after_ms`."""
 
     instance: StartId
     after_ms: int
@@ -91,7 +92,7 @@
 
 @attrs.frozen
 class Answered:
-    """An endpoint answered; where a success is to be relayed, its body is at hand."""
+    """An endpoint answered; the body of a success that is not streamed was received as well."""
 
     instance: StartId
     head: AnswerHead
@@ -99,7 +100,10 @@
 
 @attrs.frozen
 class Broken:
-    """No whole answer came; `sent` tells whether the endpoint may have seen the request."""
+    """No complete answer arrived. `sent`: the endpoint may have received the request.
+
+    `silent`: the answer timed out.
+    """
 
     instance: StartId
     sent: bool
@@ -108,7 +112,7 @@
 
 @attrs.frozen
 class SendTo:
-    """Send to this endpoint and wait so long for its answer."""
+    """Send the request to an endpoint and wait for its answer for up to `wait_ms`."""
 
     endpoint: ServiceEndpoint
     wait_ms: int
@@ -116,14 +120,14 @@
 
 @attrs.frozen
 class AcquirePermit:
-    """Ask for leave to send to this endpoint, which names a limit."""
+    """Acquire a permit to send the request to a rate-limited endpoint."""
 
     endpoint: ServiceEndpoint
 
 
 @attrs.frozen
 class Relay:
-    """Pass the answer on."""
+    """Relay the endpoint's answer to the caller."""
 
 
 Event = Begin | Permitted | NotPermitted | Answered | Broken
@@ -132,7 +136,7 @@
 
 @attrs.frozen
 class _Choice:
-    """What the next endpoint is chosen from, and with which limits."""
+    """The input to the choice of the next endpoint; `permitted` has a permit."""
 
     ranked: list[ServiceEndpoint]
     eligibility: Eligibility
@@ -149,10 +153,10 @@
     denial: Refuse | None = None,
     eligibility: Eligibility = ALL_ELIGIBLE,
 ) -> Command:
-    """The next command; `ranked` lists the usable endpoints, best first.
+    """Return the next command; `ranked` lists the usable endpoints, best first.
 
-    `barred`: no endpoint is to get the request any more, and why. `eligibility`: which of them are
-    blocked for now.
+    A `denial` forbids any further send and is returned instead. `eligibility` has the endpoints
+    that are blocked for now.
     """
     permitted = event.instance if isinstance(event, Permitted) else None
     command = _advance(state, event, _Choice(ranked, eligibility, budget, permitted), now_ms)
@@ -178,31 +182,31 @@
             state.runs += 1
             if head.success and head.signed:
                 return Relay()
-            return _after_run(state, head, choice, now_ms)
+            return _retry_run(state, head, choice, now_ms)
         case Broken(_, sent=False):
             return _redirect(state, choice, now_ms, "unreachable")
         case Broken(_, silent=silent):
             state.runs += 1
-            return _after_run(state, None, choice, now_ms, silent)
+            return _retry_run(state, None, choice, now_ms, silent)
 
 
 def _redirect(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
-    """The last endpoint did not run it: another may."""
+    """Send to another endpoint after one that did not execute the request."""
     state.redirects += 1
     if state.redirects > MOST_REDIRECTS:
         return _give_up(state, choice, reason)
     return _send(state, choice, now_ms, reason)
 
 
-def _after_run(
+def _retry_run(
     state: PlainState,
     head: AnswerHead | None,
     choice: _Choice,
     now_ms: int,
     silent: bool = False,
 ) -> Command:
-    """The last endpoint ran it, or may have: only a repeatable request goes on."""
-    end = _end_of_run(head, silent)
+    """Retry a request that was or may have been executed, if it is repeatable."""
+    end = _final_answer(head, silent)
     final = head is not None and head.signed and head.status < 500
     if not final and state.may_repeat and state.runs < state.max_attempts:
         state.fallback = end
@@ -212,8 +216,8 @@
     return end
 
 
-def _end_of_run(head: AnswerHead | None, silent: bool) -> Relay | Refuse:
-    """What the caller is told of a run that failed, if no other one follows."""
+def _final_answer(head: AnswerHead | None, silent: bool) -> Relay | Refuse:
+    """Return the answer to the caller after a failed run without a retry."""
     if head is not None and head.signed and not promises_not_run(head.status):
         return Relay()
     if silent:
@@ -222,7 +226,7 @@
 
 
 def _send_permitted(state: PlainState, choice: _Choice, now_ms: int) -> Command:
-    """It is known whether the request may go to an endpoint that names a limit."""
+    """Send after a permit was acquired or denied; return the fallback if no endpoint is left."""
     command = _send(state, choice, now_ms, state.reason)
     if state.fallback is not None and isinstance(command, Refuse):
         return state.fallback
@@ -232,7 +236,7 @@
 def _send(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
     state.reason = reason
     left_ms = state.deadline_at_ms - now_ms
-    fresh = _fresh(state, choice)
+    fresh = _untried(state, choice)
     if left_ms <= 0 or not fresh:
         return _give_up(state, choice, reason)
     if state.sends and not choice.budget.allows(state.service, now_ms):
@@ -250,17 +254,17 @@
     return SendTo(endpoint, wait_ms)
 
 
-def _fresh(state: PlainState, choice: _Choice) -> list[ServiceEndpoint]:
-    """The endpoints that were not tried and are not blocked."""
+def _untried(state: PlainState, choice: _Choice) -> list[ServiceEndpoint]:
+    """Return the endpoints that were not tried and are not blocked."""
     left_out = state.tried | _find_blocks(state, choice).keys()
     return [endpoint for endpoint in choice.ranked if endpoint.instance not in left_out]
 
 
 def _find_blocks(state: PlainState, choice: _Choice) -> dict[StartId, Block]:
-    """Why endpoints may not be sent this request now."""
+    """Return the endpoints that may not receive this request now, with the reasons."""
     blocks = {**choice.eligibility.blocks, **state.rate_limited}
     permitted = choice.permitted
-    # A permit outdoes the limit that it was granted within, and nothing else.
+    # A permit lifts the rate limit that it was granted under, and no other block.
     if permitted in blocks and blocks[permitted].reason is BlockReason.RATE_LIMITED:
         del blocks[permitted]
     return blocks
@@ -271,6 +275,6 @@
         return Refuse(502, reason, not_run=False)
     blocks = _find_blocks(state, choice)
     left = [blocks[e.instance] for e in choice.ranked if e.instance in blocks.keys() - state.tried]
-    if left and not _fresh(state, choice):
+    if left and not _untried(state, choice):
         return refuse_blocked(left)
     return Refuse(503, reason, not_run=True)
