--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -1,10 +1,10 @@
-"""Decides which engine changes its role, and when this node may order it.
+"""State machine that changes the roles of engines between prefill and decode.
 
-Too many prefill endpoints leave decode memory scarce; none at all leaves decode endpoints to read
-prompts by themselves. One node at a time holds the duty to give orders: an object of the store
-whose revision is the fence. Endpoints may not check fences, so the next holder waits until every
-order of the one before must have happened. `step(state, event, now_ms)` gives the next command or
-None.
+Too many prefill endpoints make decode memory scarce; without any, decode endpoints prefill by
+themselves. Only the node that holds the duty, a lock in the store, orders role changes. The
+revision of the lock's object is the fencing token. Some endpoints do not check it, so a new holder
+waits until every order of the previous one has been carried out or has expired.
+`step(state, event, now_ms)` returns the next command or None.
 """
 
 import math
@@ -32,38 +32,39 @@
     "target_prefillers",
 ]
 
-# A prompt of 5,000 tokens takes 90 ms to read, its answer a ninth of a decode endpoint's memory for
-# 2.7 s: in balance, a fifth to a quarter of the engines read. Decode endpoints can read, too.
+# Target share of prefill endpoints. A prompt of 5,000 tokens takes 90 ms to prefill, and its answer
+# takes a ninth of a decode endpoint's memory for 2.7 s, which balances at a fifth to a quarter. The
+# share is lower, as decode endpoints can prefill as well.
 PREFILL_SHARE = 0.18
-# An excess that lasts this long is real: endpoints enter themselves within 4.5 s of the start.
+# A surplus of prefill endpoints must last this long before a role changes.
 EXCESS_MS = 2000
-# Endpoints enter themselves within 4.5 s of the start: readers that came first are not alone yet.
+# Endpoints register within 4.5 s of the start; until then prefill endpoints may be listed alone.
 STARTUP_GRACE_MS = 5000
-# A lack that lasts this long: a crashed endpoint's entry goes after 3.6 s, and most are back by
-# then or a moment later. Without a reader, worth on two days fell to 0.26 and 0.04.
+# A shortage of prefill endpoints must last this long: a crashed endpoint's entry is removed after
+# 3.6 s, and most endpoints are back by then or shortly after.
 SHORTAGE_MS = 1500
-# Endpoints that must remain to decode when one of them is to read. With fewer, the six seconds
-# and more of a change cost more than reading beside the runs (one day with two engines left).
+# Decode endpoints change to prefill only if there are more than this many. With fewer, the change,
+# which takes six seconds or more, costs more than prefill on decode endpoints.
 MIN_DECODERS = 2
-# An order without an answer may still be carried out for this long.
+# An unanswered order may still be carried out for this long.
 ORDER_TIMEOUT_MS = 13_000
-# It is given again after this pause, to the same endpoint, where it changes nothing twice.
+# Pause before an unanswered order is repeated to the same endpoint; orders are idempotent.
 ORDER_RETRY_MS = 2500
-# A duty whose object did not change for this long is free: all orders of its holder are over.
+# A duty whose object did not change for this long may be taken: all orders of its holder are over.
 DUTY_EXPIRY_MS = 13_000
-# An order goes out at most this long after the duty was confirmed.
+# An order is sent at most this long after the duty was confirmed.
 CONFIRMATION_VALID_MS = 300
-# So many nodes ask for a duty that all see undone, each next group only when that lasts longer: one
-# of them is enough. Of 195 nodes all asked in the same half second, twice in the first ten seconds.
+# Nodes try to take the duty in groups of this size, each group after a further delay, as one holder
+# is enough: without groups, all 195 nodes of a fleet wrote to the store within half a second.
 GROUP_NODES = 4
 GROUP_DELAY_MS = 2000
-# Pause after a failed try at the duty.
+# Pause after a failed attempt to take the duty.
 DUTY_RETRY_MS = 4000
 
 
 @attrs.define
 class OpenOrder:
-    """An order whose endpoint does not show the new role yet."""
+    """An order whose endpoint does not advertise the new role yet."""
 
     role: Role
     ordered_ms: int
@@ -72,7 +73,11 @@
 
 @attrs.define
 class RoleState:
-    """What this node knows of roles and of the duty; `orders` by the endpoint's instance."""
+    """This node's view of the roles and the duty of a service; `orders` is keyed by instance.
+
+    `duty_revision` is the last seen revision of the duty's object, and `duty_changed_ms` the time
+    at which it was seen to change.
+    """
 
     node: str
     lease_ms: int
@@ -91,9 +96,9 @@
 
 @attrs.frozen
 class EndpointsObserved:
-    """The usable endpoints of one service with engines, as the directory has them now.
+    """The usable endpoints of one service with engines, as listed in the directory.
 
-    `place` is this node's among all that may ask for the duty; 0 asks first.
+    `position` is this node's in the order of nodes that may take the duty; 0 tries first.
     """
 
     endpoints: list[ServiceEndpoint]
@@ -102,7 +107,7 @@
 
 @attrs.frozen
 class DutyTaken:
-    """The store confirmed this node as the holder; `took_over` if another held it before."""
+    """The store confirmed this node as the holder; `took_over` if another node may have held it."""
 
     revision: StoreRevision
     took_over: bool
@@ -110,7 +115,7 @@
 
 @attrs.frozen
 class DutyHeldByOther:
-    """Another node holds the duty; its object is at this revision."""
+    """Another node holds the duty, whose object is at `revision`."""
 
     revision: StoreRevision
 
@@ -122,12 +127,12 @@
 
 @attrs.frozen
 class StoreRestored:
-    """The store was restored from a copy, and may have lost who holds the duty."""
+    """The store was restored from a backup, which may lack the current holder of the duty."""
 
 
 @attrs.frozen
 class OrderAnswered:
-    """The endpoint answered the order, or (`accepted` None) gave no answer."""
+    """The endpoint accepted or rejected the order; `accepted` is None if it gave no answer."""
 
     instance: StartId
     accepted: bool | None
@@ -135,14 +140,14 @@
 
 @attrs.frozen
 class TakeDuty:
-    """Confirm or take the duty; over another holder's object only at `free_revision`."""
+    """Confirm or take the duty; another holder's object is replaced only at `free_revision`."""
 
     free_revision: StoreRevision | None
 
 
 @attrs.frozen
 class OrderRole:
-    """Order an endpoint into a role."""
+    """Order an endpoint to change to a role, with the fencing token `fence`."""
 
     endpoint: ServiceEndpoint
     role: Role
@@ -156,16 +161,16 @@
 
 
 def target_prefillers(engines: int) -> int:
-    """How many of so many engines should read prompts."""
+    """Return the target number of prefill endpoints out of `engines`, at least one."""
     return max(1, math.ceil(PREFILL_SHARE * engines))
 
 
 def step(state: RoleState, event: Event, now_ms: int) -> Command | None:
-    """The next command, or None when there is nothing to do."""
+    """Return the next command, or None when there is nothing to do."""
     match event:
         case EndpointsObserved(endpoints, position):
-            turn_ms = 0 if state.is_holder else position // GROUP_NODES * GROUP_DELAY_MS
-            return _look(state, endpoints, turn_ms, now_ms)
+            group_delay_ms = 0 if state.is_holder else position // GROUP_NODES * GROUP_DELAY_MS
+            return _plan_change(state, endpoints, group_delay_ms, now_ms)
         case DutyTaken(revision, took_over):
             return _take_duty(state, revision, took_over, now_ms)
         case DutyHeldByOther(revision):
@@ -176,7 +181,7 @@
         case DutyUnknown():
             state.retry_at_ms = now_ms + DUTY_RETRY_MS
         case StoreRestored():
-            _forget_duty(state, now_ms)
+            _reset_duty(state, now_ms)
         case OrderAnswered(instance, accepted):
             if accepted is False:
                 state.orders.pop(instance, None)
@@ -186,19 +191,19 @@
     return None
 
 
-def _forget_duty(state: RoleState, now_ms: int) -> None:
-    """The holder may claim it again at once; others wait until all its orders are over."""
+def _reset_duty(state: RoleState, now_ms: int) -> None:
+    """Reset the duty: its holder may take it again at once, others after its orders are over."""
     state.duty_revision, state.duty_changed_ms = None, now_ms
     if not state.is_holder:
         state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_EXPIRY_MS)
 
 
-def _look(
-    state: RoleState, endpoints: list[ServiceEndpoint], turn_ms: int, now_ms: int
+def _plan_change(
+    state: RoleState, endpoints: list[ServiceEndpoint], group_delay_ms: int, now_ms: int
 ) -> Command | None:
-    _settle_orders(state, endpoints, now_ms)
-    chosen = _order_again(state, endpoints, now_ms)
-    chosen = chosen or _unbalanced(state, endpoints, turn_ms, now_ms)
+    _close_orders(state, endpoints, now_ms)
+    chosen = _find_unanswered(state, endpoints, now_ms)
+    chosen = chosen or _find_imbalance(state, endpoints, group_delay_ms, now_ms)
     if chosen is None or now_ms < max(state.retry_at_ms, state.may_order_from_ms):
         return None
     state.chosen = chosen
@@ -206,8 +211,8 @@
     return TakeDuty(state.duty_revision if free else None)
 
 
-def _settle_orders(state: RoleState, endpoints: list[ServiceEndpoint], now_ms: int) -> None:
-    """An order is over when its endpoint shows the new role, is gone, or never will change."""
+def _close_orders(state: RoleState, endpoints: list[ServiceEndpoint], now_ms: int) -> None:
+    """Remove orders whose endpoint has the new role or is gone, and those that timed out."""
     shown = {endpoint.instance: endpoint.role for endpoint in endpoints}
     for instance, order in list(state.orders.items()):
         done = shown.get(instance) in (None, order.role)
@@ -215,10 +220,10 @@
             del state.orders[instance]
 
 
-def _order_again(
+def _find_unanswered(
     state: RoleState, endpoints: list[ServiceEndpoint], now_ms: int
 ) -> ServiceEndpoint | None:
-    """An endpoint that was ordered and gave no answer."""
+    """Return an endpoint whose order was not answered and is due for a repetition."""
     for endpoint in endpoints:
         order = state.orders.get(endpoint.instance)
         if order and order.unanswered and now_ms - order.ordered_ms >= ORDER_RETRY_MS:
@@ -226,10 +231,10 @@
     return None
 
 
-def _unbalanced(
-    state: RoleState, endpoints: list[ServiceEndpoint], turn_ms: int, now_ms: int
+def _find_imbalance(
+    state: RoleState, endpoints: list[ServiceEndpoint], group_delay_ms: int, now_ms: int
 ) -> ServiceEndpoint | None:
-    """The endpoint that should change, once the imbalance has lasted."""
+    """Return the endpoint that should change its role, once the imbalance has lasted."""
     chosen = _choose(state, endpoints)
     if chosen is None:
         state.unbalanced_since_ms = None
@@ -238,22 +243,21 @@
     if state.unbalanced_since_ms is None or shortage is not state.shortage:
         state.unbalanced_since_ms, state.shortage = now_ms, shortage
     lasted_ms = now_ms - state.unbalanced_since_ms
-    return chosen if lasted_ms >= _wait_ms(state, shortage) + turn_ms else None
+    return chosen if lasted_ms >= _required_imbalance_ms(state, shortage) + group_delay_ms else None
 
 
-def _wait_ms(state: RoleState, shortage: bool) -> int:
-    """How long an imbalance has to last."""
+def _required_imbalance_ms(state: RoleState, shortage: bool) -> int:
+    """Return how long an imbalance has to last before a role changes."""
     if not state.decoder_seen:
         return STARTUP_GRACE_MS
     return SHORTAGE_MS if shortage else EXCESS_MS
 
 
 def _choose(state: RoleState, endpoints: list[ServiceEndpoint]) -> ServiceEndpoint | None:
-    """The endpoint that should change, or None in balance; open orders count as carried out.
+    """Return the endpoint that should change, or None; open orders count as carried out.
 
-    Where nothing decodes, a reader changes even if it is the last engine: it then reads as well,
-    while readers alone serve nobody. A day whose engines left one by one ended with a reader that
-    waited for 14 s, and 96 callers were told that there is no endpoint.
+    Without a decode endpoint, even the last prefill endpoint changes: it can prefill and decode
+    then, while prefill endpoints alone serve no request and callers get `no-endpoint`.
     """
     by_role: dict[Role, list[ServiceEndpoint]] = {Role.PREFILL: [], Role.DECODE: []}
     for endpoint in endpoints:
