--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class StreamAnswered:
-    """A decode endpoint answered; after a success the first part of its body is received as well."""
+    """A decode endpoint answered; a success was received up to the first part of its body."""
 
     instance: StartId
     head: AnswerHead
