--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -54,11 +54,10 @@
 
 @attrs.define
 class PlainState:
-    """What happened so far. `runs` counts sends that may have been executed.
+    """State of one plain request. `runs` counts sends that may have been executed.
 
-    `rate_limited`: the endpoints whose limit left no room for this request.
-    `reason`: why an endpoint is sought; `fallback`: what the caller is told of the last run if
-    none is found.
+    `rate_limited`: endpoints whose rate limit rejected the request. `reason`: why another endpoint
+    is needed. `fallback`: the answer to the last run if no other endpoint is found.
     """
 
     service: str
