--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -231,11 +231,11 @@
 
 def _take_granted(state: GenerationState, instance: StartId, pools: Pools, now_ms: int) -> _Result:
     """Take a hold at the granted endpoint, or at another one if it is not usable from this node."""
-    place = next((e for e in pools.decoders if e.instance == instance), None)
-    if place is None:
+    granted = next((e for e in pools.decoders if e.instance == instance), None)
+    if granted is None:
         state.granted = None
         return _take_next(state, pools, now_ms)
-    return TakeHold(place, state.planned_tokens, 0, _hold_ttl_ms(state, now_ms))
+    return TakeHold(granted, state.planned_tokens, 0, _hold_ttl_ms(state, now_ms))
 
 
 def _take_next(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
