--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -69,9 +69,9 @@
     `headroom_tokens` must be free beside the reservation. Callers disconnect if no event arrives
     within `first_event_timeout_ms`. `planned_tokens` are reserved at an endpoint that the planner
     granted; `plans_left` limits further requests to the planner. `returned` marks a caller that was
-    refused before. `reader` is the prefill endpoint that the planner chose. Endpoints in `asked`
-    are not asked again in this round, those in `failed` not again for this request; those in
-    `broken` failed beyond refusing it and are reported to the planner once.
+    refused before. `reader` is the endpoint that the planner chose for the prefill. Endpoints in
+    `asked` are not asked again in this round, those in `failed` not before the next `Wait`; those
+    in `broken` failed otherwise than by a rejection and are reported to the planner once.
     """
 
     service: str
