--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -235,12 +235,12 @@
 def _send(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
     state.reason = reason
     left_ms = state.deadline_at_ms - now_ms
-    fresh = _untried(state, choice)
-    if left_ms <= 0 or not fresh:
+    untried = _untried(state, choice)
+    if left_ms <= 0 or not untried:
         return _give_up(state, choice, reason)
     if state.sends and not choice.budget.allows(state.service, now_ms):
         return _give_up(state, choice, f"{reason}:retry-budget")
-    endpoint = next((e for e in fresh if e.instance == choice.permitted), fresh[0])
+    endpoint = next((e for e in untried if e.instance == choice.permitted), untried[0])
     if endpoint.instance in choice.eligibility.limited and endpoint.instance != choice.permitted:
         return AcquirePermit(endpoint)
     if state.sends:
@@ -248,7 +248,7 @@
     state.sends += 1
     state.fallback = None
     state.tried.add(endpoint.instance)
-    hedges = state.may_repeat and state.runs + 1 < state.max_attempts and len(fresh) > 1
+    hedges = state.may_repeat and state.runs + 1 < state.max_attempts and len(untried) > 1
     wait_ms = min(left_ms, int(HEDGE_SHARE * state.target_ms)) if hedges else left_ms
     return SendTo(endpoint, wait_ms)
 
