--- a/saffronworks/forwarding/node_choice.py
+++ b/saffronworks/forwarding/node_choice.py
@@ -1,4 +1,4 @@
-"""Which node answers for a matter: the same choice at all nodes, without a message."""
+"""Choice of the node that plans a service: all nodes choose the same one without messages."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 __all__ = ["NodeChoice"]
 
 
-# Those that hear the reports of all nodes.
+# Number of nodes that receive the reports of all nodes.
 REPORT_RECEIVERS = 2
 
 
@@ -26,54 +26,52 @@
     span_ms: int
 
 
-def _forget_ranks(
-    choice: "NodeChoice", attribute: Any, cores: dict[str, float]
-) -> dict[str, float]:
-    """Other nodes are there from now on."""
+def _clear_ranks(choice: "NodeChoice", attribute: Any, cores: dict[str, float]) -> dict[str, float]:
+    """Clear the cached ranks when the set of nodes changes."""
     choice._ranks.clear()
     return cores
 
 
 @attrs.define
 class NodeChoice:
-    """Ranks the nodes by hash, the strong ones only, and passes over those that were silent.
+    """Ranks the strong nodes by hash and avoids those that did not answer.
 
-    `cores` has the processor cores of each node, by its address; a matter is a service whose memory
-    is planned. The two that rank first hear the reports of all nodes, whoever is chosen at the
-    moment: so the second knows all runs when the first falls silent, and the first when it is back.
-    Until `young_until_ms` this node has just started, and others may have with it: one that is
-    silent then is soon there.
+    `cores` has the number of processor cores of each node, by address. The first two nodes receive
+    the reports of all nodes, whichever is chosen: so the second knows all runs when the first stops
+    answering, and the first when it is back. Until `starting_until_ms` this node counts as just
+    started. Others may have started with it, so one that does not answer is avoided only briefly.
     """
 
-    cores: dict[str, float] = attrs.field(factory=dict, on_setattr=_forget_ranks)
+    cores: dict[str, float] = attrs.field(factory=dict, on_setattr=_clear_ranks)
     starting_until_ms: int = 0
     _avoided: dict[str, _Avoided] = attrs.Factory(dict)
     _ranks: dict[tuple[str, frozenset[str]], list[str]] = attrs.Factory(dict)
 
     def choose(self, service: str, now_ms: int) -> str | None:
-        """The node to ask now; None when none is left."""
+        """Return the node to ask now; None when none is left."""
         avoided = frozenset(node for node in self._avoided if self.is_avoided(node, now_ms))
         return next(iter(self._rank(service, avoided)), None)
 
     def report_receivers(self, service: str, now_ms: int) -> list[str]:
-        """Those that hear what is under way."""
+        """Return the nodes that receive reports of the runs in progress."""
         ranked = self._rank(service, frozenset())
         chosen = self.choose(service, now_ms)
         return ranked if chosen is None or chosen in ranked else [*ranked, chosen]
 
     def is_avoided(self, node: str, now_ms: int) -> bool:
-        """Whether a node was silent a moment ago."""
+        """Return True while a node that did not answer is avoided."""
         known = self._avoided.get(node)
         return known is not None and now_ms < known.until_ms
 
     def starting(self, now_ms: int) -> bool:
-        """Whether this node has just started."""
+        """Return True while this node counts as just started."""
         return now_ms < self.starting_until_ms
 
     def avoid(self, node: str, now_ms: int) -> int:
-        """It was silent: pass it over, for longer each time in a row. Returns for how long.
+        """Avoid a node that did not answer, and return for how long in ms.
 
-        Asks that were sent before it was passed over count as one.
+        The time doubles with each failure in a row. Requests sent before the node was avoided count
+        as one failure.
         """
         if self.starting(now_ms):
             self._avoided[node] = _Avoided(now_ms + YOUNG_AVOID_MS, NODE_AVOID_MS // 2)
@@ -87,11 +85,11 @@
         return span_ms
 
     def record_answer(self, node: str) -> None:
-        """It answered."""
+        """Stop avoiding a node that answered."""
         self._avoided.pop(node, None)
 
     def _rank(self, service: str, avoided: frozenset[str]) -> list[str]:
-        """The first two, by hash; kept, as it takes 0.1 ms at 60 nodes."""
+        """Return the first two nodes by hash, cached, as ranking 60 nodes takes 0.1 ms."""
         key = (service, avoided)
         if key not in self._ranks:
             if len(self._ranks) >= MOST_RANKS_KEPT:
