--- a/saffronworks/forwarding/node_order.py
+++ b/saffronworks/forwarding/node_order.py
@@ -1,4 +1,4 @@
-"""Who acts first where few nodes are enough: the same order at all nodes, without a message."""
+"""Order in which nodes act where few are enough: all nodes compute the same without messages."""
 
 from collections.abc import Collection
 
@@ -13,16 +13,16 @@
 
 
 def strong_nodes(cores: dict[str, float]) -> list[str]:
-    """The nodes that have about as many processor cores as the strongest of these."""
+    """Return the nodes that have about as many processor cores as the strongest one."""
     most = max(cores.values(), default=0.0)
     return [node for node, has in cores.items() if has >= STRONG_SHARE * most]
 
 
 @attrs.define
 class NodeOrder:
-    """The order of nodes for each purpose, by hash; nodes are named by their address.
+    """The order of nodes for each purpose, by hash; nodes are identified by their address.
 
-    Those in `first` come before the others.
+    Nodes in `first` come before the others.
     """
 
     own: str
@@ -31,12 +31,12 @@
     _orders: dict[str, dict[str, int]] = attrs.Factory(dict)
 
     def update(self, nodes: Collection[str], first: Collection[str] = ()) -> None:
-        """Which nodes there are from now on."""
+        """Replace the set of nodes."""
         self.nodes, self.first = nodes, first
         self._orders.clear()
 
     def position(self, purpose: str, node: str | None = None) -> int:
-        """The place of a node, this one unless named; 0 is first, an unknown node is last."""
+        """Return the position of a node, by default this one; unknown nodes come last."""
         if purpose not in self._orders:
             others = [other for other in self.nodes if other not in self.first]
             ranked = rank_members(self.first, purpose, len(self.first))
