--- a/saffronworks/forwarding/routing.py
+++ b/saffronworks/forwarding/routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest path prefix, with weighted splits over services."""
+"""Routing by host and longest path prefix, with weighted splits over services."""
 
 from collections.abc import Collection
 
@@ -9,13 +9,13 @@
 
 __all__ = ["CallerLimits", "EngineSpec", "Route", "RoutingTable", "Service", "Split"]
 
-# What an endpoint assumes of a request that has none; 0 is the most urgent of ten.
+# Priority that endpoints assume for a request without one; of ten, 0 is the most urgent.
 DEFAULT_PRIORITY = 5
 
 
 @attrs.frozen
 class Split:
-    """A share of a route's requests that one service gets."""
+    """The weight of one service among those that share a route's requests."""
 
     service: str
     weight: float
@@ -23,7 +23,10 @@
 
 @attrs.frozen
 class Route:
-    """What the operator wants for the requests of one host and path prefix."""
+    """The operator's settings for the requests of one host and path prefix.
+
+    `target_ms` is the latency target, `gap_target_ms` the one between two events of a stream.
+    """
 
     name: str
     host: str
@@ -36,18 +39,18 @@
     target_ms: int
     max_attempts: int
     gap_target_ms: int = 300
-    # Served without a key.
+    # Callers need no key.
     public: bool = False
-    # 0 is the most urgent; an organisation's own priority comes before it.
+    # 0 is the most urgent; it orders requests of organisations that have the same priority.
     priority: int = DEFAULT_PRIORITY
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run again after a run whose end is unknown."""
+        """True if a request may run again after a run whose outcome is unknown."""
         return self.repeatable or (self.streams and self.resumable)
 
     def choose_service(self, request_id: str) -> str:
-        """The service for a request: the same one each time for the same id and weights."""
+        """Return the service for a request; the same id and weights give the same service."""
         total = sum(split.weight for split in self.splits)
         point = hash32(request_id) / 2**32 * total
         for split in self.splits:
@@ -59,7 +62,10 @@
 
 @attrs.frozen
 class EngineSpec:
-    """Sizes of the engines of one service, which read prompts and generate tokens."""
+    """Sizes of the language-model engines of one service.
+
+    `slots` is the number of concurrent runs; holds are granted for up to `hold_most_ms`.
+    """
 
     slots: int
     kv_capacity_tokens: int
@@ -69,9 +75,9 @@
 
 @attrs.frozen
 class Service:
-    """A named group of endpoints; `engine` is set where they generate tokens.
+    """A named group of endpoints; `engine` is set where they are language-model engines.
 
-    Each endpoint takes `max_connections` from all nodes together.
+    Each endpoint accepts `max_connections` from all nodes together.
     """
 
     name: str
@@ -81,7 +87,7 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, and for how long a connection may rest."""
+    """Limits on the size of callers' requests and on the idle time of their connections."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -92,7 +98,7 @@
 class RoutingTable:
     """One version of the operator's configuration.
 
-    `organisations` are found by their keys; None where callers need no key.
+    `organisations` are keyed by the digest of their API keys; None where callers need no key.
     """
 
     version: int
@@ -116,15 +122,15 @@
 
     @property
     def organisation_names(self) -> Collection[str]:
-        """The names of all organisations that hold a key."""
+        """The names of all organisations that have a key."""
         return self._by_name.keys()
 
     def find_organisation(self, name: str) -> Organisation | None:
-        """The organisation of that name."""
+        """Return the organisation of that name, or None."""
         return self._by_name.get(name)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of that host with the longest prefix of the path."""
+        """Return the route of that host with the longest matching path prefix, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
