--- a/saffronworks/forwarding/reservations.py
+++ b/saffronworks/forwarding/reservations.py
@@ -1,4 +1,4 @@
-"""A generation's place in the memory of a decode endpoint: asked for, reserved, given back."""
+"""Reservation of KV memory at a decode endpoint for one generation."""
 
 import logging
 
@@ -30,16 +30,16 @@
 
 logger = logging.getLogger(__name__)
 
-# What a place takes of an endpoint's limit: its reservation, and the stream, or the release of what
-# was not used.
+# Calls of one reservation that count towards an endpoint's rate limit: the hold, and then the
+# stream or the release of the unused hold.
 RESERVATION_CALLS = 2
 
 
 @attrs.frozen
 class StreamPace:
-    """What a stream showed of its endpoint: tokens and their time.
+    """Measured output of one stream: tokens, and the time that they took.
 
-    `length_tokens` is that of the whole answer, once it has ended.
+    `length_tokens` is the length of the whole answer, once it has ended.
     """
 
     answer_tokens: int = 0
@@ -49,7 +49,10 @@
 
 @attrs.define
 class Reservation:
-    """At most one reservation at a time; `known` tells that the planner may count on it."""
+    """Holds at most one reservation at a time.
+
+    `known_to_planner`: the planner may count the request as waiting or running.
+    """
 
     node: NodeState
     job: Job
@@ -61,18 +64,18 @@
 
     @property
     def held(self) -> bool:
-        """Whether an endpoint has reserved memory for it, or runs it."""
+        """True while an endpoint has memory reserved for the request or runs it."""
         return self._load is not None
 
     @property
     def owner(self) -> RunOwner:
-        """For whom the place is."""
-        whose, route = self.job.request.organisation, self.job.route
-        rank = combine_priorities(whose.priority if whose else None, route.priority)
-        return RunOwner(rank, whose.name if whose else "")
+        """The priority rank and the organisation of the request."""
+        organisation, route = self.job.request.organisation, self.job.route
+        rank = combine_priorities(organisation.priority if organisation else None, route.priority)
+        return RunOwner(rank, organisation.name if organisation else "")
 
     async def ask_planner(self, command: events.AskPlanner, returned: bool) -> events.Event:
-        """Ask the planner for a place, and wait for its answer."""
+        """Ask the planner for memory and return its answer as an event."""
         memory, request = self.node.memory, self.job.request
         self.known_to_planner = True
         ask = MemoryAsk(
@@ -101,14 +104,17 @@
         return events.PlanSilent()
 
     async def reserve(self, command: events.TakeHold) -> events.Event:
-        """Reserve memory at an endpoint; raises Break when it gives no answer."""
+        """Reserve memory at an endpoint and return the outcome as an event.
+
+        Raises Break when the endpoint gives no answer.
+        """
         endpoint, request_id = command.endpoint, self.job.request.request_id
         permit = await self.node.limits.acquire_permit(endpoint, request_id, RESERVATION_CALLS)
         if isinstance(permit, NoPermit):
             self.node.figures.count_send("hold", "limited")
             return events.HoldFailed(endpoint.instance, broken=False)
         try:
-            hold = await self._take_beside_headroom(command, limited=permit is not FREE)
+            hold = await self._take_hold_with_headroom(command, limited=permit is not FREE)
         except Break as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
@@ -125,17 +131,20 @@
             )
             return events.HoldFailed(endpoint.instance, broken=False)
         self.node.figures.count_send("hold", "taken")
-        self._take(hold.ok_value, endpoint, command.tokens)
+        self._record_hold(hold.ok_value, endpoint, command.tokens)
         return events.HoldTaken(hold.ok_value)
 
-    async def _take_beside_headroom(
+    async def _take_hold_with_headroom(
         self, command: events.TakeHold, limited: bool
     ) -> Result[KvHold, NotExecuted]:
-        """The headroom is reserved first, to see that it is there, and given back at once."""
+        """Take a hold if the headroom is free as well.
+
+        To check this, the headroom is reserved first and released at once.
+        """
         calls, endpoint, now_ms = self.node.calls, command.endpoint, self.node.now_ms
         request = self.job.request
         headroom: KvHold | None = None
-        # An endpoint in need is spared the two calls.
+        # The check costs two calls, which rate-limited endpoints are spared.
         if command.headroom_tokens and not limited:
             free = await calls.take_hold(
                 endpoint, request, command.headroom_tokens, HEADROOM_MS, now_ms()
@@ -151,7 +160,7 @@
             if headroom is not None:
                 self.node.spawn(calls.drop_hold, headroom)
 
-    def _take(self, hold: KvHold, endpoint: ServiceEndpoint, tokens: int) -> None:
+    def _record_hold(self, hold: KvHold, endpoint: ServiceEndpoint, tokens: int) -> None:
         self._hold, self._tokens, self.known_to_planner = hold, tokens, True
         self._load = self.node.loads.of(endpoint.instance)
         self._load.reserved_tokens += tokens
@@ -160,11 +169,11 @@
         self.node.memory.begin(request_id, service, instance, self.size, self.owner)
 
     def mark_used(self) -> None:
-        """The request was sent with the reservation, which serves it from now on."""
+        """Mark the hold as used by a stream, so that it is not released."""
         self._hold = None
 
     def release(self) -> None:
-        """Free what is reserved and unused."""
+        """Release the reservation, and the hold unless a stream used it."""
         if self._load is not None:
             self._load.reserved_tokens -= self._tokens
             self._load = None
@@ -173,12 +182,12 @@
             self._hold = None
 
     def report_reading_ended(self, reader: StartId, whole: bool) -> None:
-        """Tell the planner that the reader is done with the prompt, well or not."""
+        """Report to the planner that a prefill ended; `whole` if it succeeded."""
         request_id, service = self.job.request.request_id, self.job.service
         self.node.memory.end_reading(ReadingEnded(request_id, service, reader, whole))
 
     def report_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
-        """Tell the planner that the place is free, and which endpoints failed the request."""
+        """Report to the planner that the memory is free, and which endpoints failed."""
         request_id, service = self.job.request.request_id, self.job.service
         release = MemoryRelease(
             request_id,
