--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -1,4 +1,4 @@
-"""What this node has seen of each endpoint: work under way, latency, failures."""
+"""This node's view of each endpoint's load: requests in progress, latency and failures."""
 
 import attrs
 
@@ -18,7 +18,7 @@
 
 @attrs.define
 class EndpointLoad:
-    """Running averages of one endpoint; they fall back to the prior while nothing is heard."""
+    """Load and moving averages of one endpoint; without samples the averages decay to the prior."""
 
     outstanding: int = 0
     reserved_tokens: int = 0
@@ -29,27 +29,29 @@
     no_prefill_until_ms: int = 0
 
     def record_success(self, latency_ms: float, now_ms: int) -> None:
-        """An answer came whole."""
-        self._forget(now_ms)
+        """Record a complete answer."""
+        self._decay(now_ms)
         self.latency_ms += SAMPLE_WEIGHT * (latency_ms - self.latency_ms)
         self.failure_share *= 1 - SAMPLE_WEIGHT
         self.circuit.succeed(now_ms)
 
     def record_failure(self, now_ms: int, unreachable: bool = False) -> None:
-        """A request failed; one that could not even reach the endpoint opens its circuit."""
-        self._forget(now_ms)
+        """Record a failed request; `unreachable` opens the circuit at once."""
+        self._decay(now_ms)
         self.failure_share += SAMPLE_WEIGHT * (1 - self.failure_share)
         self.circuit.fail("connect" if unreachable else "failed", now_ms)
 
-    def cost(self, away: bool, now_ms: int) -> float:
-        """How long one more request is expected to take here, in weighted milliseconds."""
-        self._forget(now_ms)
+    def cost(self, other_zone: bool, now_ms: int) -> float:
+        """Return the expected latency of one more request, in weighted milliseconds."""
+        self._decay(now_ms)
         expected_ms = self.latency_ms * (1 + self.outstanding)
         return (
-            expected_ms * (1 + FAILURE_FACTOR * self.failure_share) * (AWAY_FACTOR if away else 1)
+            expected_ms
+            * (1 + FAILURE_FACTOR * self.failure_share)
+            * (AWAY_FACTOR if other_zone else 1)
         )
 
-    def _forget(self, now_ms: int) -> None:
+    def _decay(self, now_ms: int) -> None:
         kept = 0.5 ** (max(0, now_ms - self.updated_ms) / FORGET_HALF_LIFE_MS)
         self.latency_ms = PRIOR_LATENCY_MS + (self.latency_ms - PRIOR_LATENCY_MS) * kept
         self.failure_share *= kept
@@ -64,21 +66,21 @@
     _loads: dict[StartId, EndpointLoad] = attrs.Factory(dict)
 
     def of(self, instance: StartId) -> EndpointLoad:
-        """The load of one endpoint, made when first asked for."""
+        """Return the load of one endpoint, created at first use."""
         return self._loads.setdefault(instance, EndpointLoad())
 
     def forget_all_but(self, instances: set[StartId]) -> None:
-        """Drop what belongs to endpoints that are gone and have nothing under way."""
+        """Remove all other endpoints, except those with outstanding requests."""
         for instance in [name for name in self._loads if name not in instances]:
             if self._loads[instance].outstanding == 0:
                 del self._loads[instance]
 
     def rank(self, endpoints: list[ServiceEndpoint], now_ms: int) -> list[ServiceEndpoint]:
-        """Cheapest first; endpoints with an open circuit come last, as there may be no other."""
+        """Sort by cost, lowest first; endpoints with an open circuit come last but stay usable."""
 
         def cost(endpoint: ServiceEndpoint) -> tuple[bool, float, StartId]:
             load = self.of(endpoint.instance)
-            away = endpoint.zone != self.zone
-            return not load.circuit.admits(now_ms), load.cost(away, now_ms), endpoint.instance
+            other_zone = endpoint.zone != self.zone
+            return not load.circuit.admits(now_ms), load.cost(other_zone, now_ms), endpoint.instance
 
         return sorted(endpoints, key=cost)
