--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -57,7 +57,8 @@
 ) -> None:
     """Serve a request of a service with engines.
 
-    `usual_left_ms` is the time that callers of the route give at their first attempt.
+    `usual_left_ms` is the timeout that callers of the route set at their first attempt. A request
+    with less time left is taken for a retry.
     """
     state = GenerationState(
         service=job.service,
@@ -79,7 +80,7 @@
 
 
 def client_first_event_timeout_ms(route: Route) -> int:
-    """After how long without a first event callers of a route leave."""
+    """Return the time after which callers of a route disconnect if no event has arrived."""
     by_target_ms = GIVE_UP_TARGETS * route.target_ms
     return max(GIVE_UP_LEAST_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
 
@@ -103,7 +104,7 @@
         self._trial_began = False
 
     async def run(self) -> None:
-        """Execute commands until the caller has its answer."""
+        """Execute commands until the answer is complete, refused or cut."""
         event: events.Event | None = Begin()
         try:
             while event is not None:
@@ -196,17 +197,17 @@
         try:
             return await self._reservation.reserve(command)
         except Break as broken:
-            self._note_break(HOLD, command.endpoint, broken)
+            self._record_break(HOLD, command.endpoint, broken)
             return events.HoldFailed(command.endpoint.instance, broken=not broken.withheld)
 
     async def _read_prompt(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
-        event = await self._have_read(endpoint, timeout_ms)
+        event = await self._prefill(endpoint, timeout_ms)
         self._reservation.report_reading_ended(
             endpoint.instance, isinstance(event, events.PromptRead)
         )
         return event
 
-    async def _have_read(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
+    async def _prefill(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
         node = self._node
         permit = await node.limits.acquire_permit(endpoint, self._job.request.request_id)
         if isinstance(permit, NoPermit):
@@ -222,7 +223,7 @@
             if not broken.sent:
                 self._job.runs.uncount_read()
                 node.limits.release_permit(permit)
-            self._note_break("prefill", endpoint, broken)
+            self._record_break("prefill", endpoint, broken)
             tried = not broken.withheld
             return events.ReadFailed(endpoint.instance, broken=tried, sent=tried)
         finally:
@@ -245,7 +246,7 @@
         return events.PromptRead(answer.ok_value)
 
     def _begin_trial(self) -> None:
-        """Before the first send to an endpoint, so that two owners don't begin at once."""
+        """Record a trial before its first send, so that no two nodes start one at the same time."""
         if self._job.on_trial and not self._trial_began:
             self._trial_began = True
             self._node.quarantine.begin_trial(self._job.request)
@@ -269,17 +270,17 @@
         except Break as broken:
             if not broken.sent:
                 self._job.runs.uncount_run()
-            self._note_break("stream", endpoint, broken)
+            self._record_break("stream", endpoint, broken)
             if broken.withheld:
                 return events.StreamWithheld(endpoint.instance)
             silent = broken.cause is BreakCause.SILENT
             return events.StreamBroken(endpoint.instance, broken.sent, silent)
         if head.executed is Executed.NO:
             self._job.runs.uncount_run()
-        self._note_answer(endpoint, head, handle)
+        self._record_answer(endpoint, head, handle)
         return events.StreamAnswered(endpoint.instance, head)
 
-    def _note_answer(
+    def _record_answer(
         self, endpoint: ServiceEndpoint, head: AnswerHead, handle: KvHandle | None
     ) -> None:
         node = self._node
@@ -309,7 +310,7 @@
         try:
             await self._relay.send_events(self._stream)
         except Break as broken:
-            return self._relay_broke(broken)
+            return self._relay_broken(broken)
         return None
 
     async def _relay_failure(self, head: AnswerHead) -> events.Event | None:
@@ -320,7 +321,7 @@
         try:
             await relay_rest(node, job, self._stream.exchange, body)
         except Break as broken:
-            return self._relay_broke(broken)
+            return self._relay_broken(broken)
         finally:
             body.leave()
         await body.finish()
@@ -336,10 +337,10 @@
         )
         return None
 
-    def _relay_broke(self, broken: Break) -> events.RelayBroken:
+    def _relay_broken(self, broken: Break) -> events.RelayBroken:
         assert self._state.hold is not None
         endpoint = self._state.hold.endpoint
-        self._note_break("stream", endpoint, broken)
+        self._record_break("stream", endpoint, broken)
         return events.RelayBroken(
             endpoint.instance, position_known=self._relay.last_event is not None
         )
@@ -355,21 +356,21 @@
         self._node.figures.count("cut", self._job.route.name, reason)
         self._job.reply.cut()
 
-    def _note_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
+    def _record_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
         self._node.note_break(kind, self._job.request, endpoint, broken)
 
     def _release_if_held(self) -> None:
-        """Give up a place that was taken, before another one is sought.
+        """Release a reservation that is held, before another one is taken.
 
-        One that the planner only named is kept: the planner counts on it until it is reserved, and
-        a new ask tells that there was no room. An end told in between made it forget each run until
-        the next report, and grant the same memory and the same reader again.
+        A grant without a hold is kept: the planner counts it until the memory is reserved, and a
+        new request to the planner replaces it. If its end were reported in between, the planner
+        would drop the run until the next report and grant the same memory and reader again.
         """
         if self._reservation.held:
             self._release()
 
     def _release(self) -> None:
-        """End the exchange, and give back what was reserved and will not be used."""
+        """End the exchange, and release the reservation and an unused KV handle."""
         if self._stream is not None:
             self._stream.exchange.end()
             self._stream = None
