--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -1,4 +1,4 @@
-"""Carries one plain request: executes the commands of `plain_core`."""
+"""Serves one plain request: executes the commands of `plain_core`."""
 
 import logging
 
@@ -43,7 +43,7 @@
         self._job = job
         self._exchange: Exchange | None = None
         self._endpoint: ServiceEndpoint | None = None
-        # Of a send that is about to begin.
+        # The permit for the next send.
         self._permit = FREE
         self._head: AnswerHead | None = None
         self._start_of_body = b""
@@ -60,7 +60,7 @@
         )
 
     async def run(self) -> None:
-        """Execute commands until the caller has its answer."""
+        """Execute commands until the answer is complete, refused or cut."""
         command = self._decide(Begin())
         try:
             while isinstance(command, SendTo | AcquirePermit):
@@ -89,7 +89,7 @@
         return NotPermitted(endpoint.instance, taken.after_ms)
 
     def _release_permit(self) -> None:
-        """What was sent, even if the endpoint turned it away, has used its permit."""
+        """Release an unused permit; a request that was sent has used its own, even if rejected."""
         self._node.limits.release_permit(self._permit)
         self._permit = FREE
 
@@ -224,7 +224,7 @@
         )
 
     async def _relay_events(self, run: StreamRun, body: AnswerBody) -> None:
-        """Pass whole events on; raises Break where a run ends early, inside an event too."""
+        """Relay complete events; raises Break if the stream ends early or inside an event."""
         job, now_ms = self._job, self._node.now_ms
         while (mark := await run.next_events(max(1, job.deadline_at_ms - now_ms()))) is not None:
             await body.write(mark.data)
