--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the roles of engines in balance: executes the commands of `role_core`."""
+"""Balances the roles of engines: executes the commands of `role_core`."""
 
 import logging
 from collections.abc import Callable
@@ -32,13 +32,13 @@
 
 logger = logging.getLogger(__name__)
 
-# The kind of the objects that tell who may give orders; one object a service.
+# Kind of the store objects that name the node which may order role changes, one per service.
 DUTY_KIND = "saffron-duties"
 LOOK_EVERY_MS = 500
 
 
 class RoleKeeper:
-    """Looks at the engines of every service, and orders role changes while it has the duty."""
+    """Checks the engines of every service, and orders role changes while it holds the duty."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._written = 0
 
     async def run(self) -> None:
-        """EndpointsObserved again and again until cancelled."""
+        """Check all services every `LOOK_EVERY_MS` until cancelled."""
         while True:
             await anyio.sleep(LOOK_EVERY_MS / 1000)
             table = self._table()
@@ -92,7 +92,7 @@
     async def _take_duty(
         self, service: str, state: RoleState, command: TakeDuty
     ) -> role_core.Event:
-        """Confirm a duty of ours, take a free one, or learn who holds it."""
+        """Confirm the duty if this node holds it, else try to take it."""
         asked_ms = self._now_ms()
         self._written += 1
         content = msgspec.json.encode({"holder": state.node, "written": self._written})
@@ -142,7 +142,11 @@
     asked_at: StoreRevision | None,
     is_holder: bool,
 ) -> role_core.Event:
-    """Only a duty confirmed within one epoch, or created for the first time, was nobody else's."""
+    """Return the event for the store's reply to a write of the duty.
+
+    Another node may have held the duty, unless this node confirmed it within one epoch of the store
+    or created it for the first time.
+    """
     match reply:
         case Ok(written):
             restored = asked_at is not None and written.revision.epoch != asked_at.epoch
