--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -1,4 +1,4 @@
-"""What the runners of both kinds of request share: the node's state and how requests end."""
+"""Shared parts of the runners of plain requests and generations: node state, jobs, refusals."""
 
 import logging
 from collections.abc import Callable
@@ -40,14 +40,14 @@
 
 logger = logging.getLogger(__name__)
 
-# Names of calls to endpoints: the send of a plain request, and the reservation of memory.
+# Names of calls to endpoints in logs and metrics.
 PLAIN = "plain"
 HOLD = "hold"
 
 
 @attrs.define
 class NodeState:
-    """What all requests of a node share."""
+    """The components that all requests of a node share."""
 
     zone: str
     directory: Directory
@@ -70,7 +70,10 @@
         return AnswerBuffers(None, self.figures, self.now_ms)
 
     def denial(self, job: "Job", trial_began: bool = False) -> Refuse | None:
-        """Why a request under way is to be sent to no endpoint any more; None while it may be."""
+        """Return the refusal for a request that may not be sent any more, or None if it may.
+
+        Its key may have been revoked, or its content quarantined since it was admitted.
+        """
         if not self.identities.holds(job.request, job.route):
             return KEY_TAKEN_AWAY
         if not trial_began and self.quarantine.blocks(job.request, job.on_trial):
@@ -78,7 +81,7 @@
         return None
 
     def begin_run(self, job: "Job") -> None:
-        """A request is sent to an endpoint that is to run it: each run counts for its quota."""
+        """Record a run; each one after the first is charged to the organisation's quota."""
         job.runs.begin_run()
         if job.runs.runs > 1:
             self.quotas.count_run(job.charge, job.runs.sends)
@@ -86,10 +89,11 @@
     def note_break(
         self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break
     ) -> None:
-        """Count and log a call that got no whole answer; `kind` names the call.
+        """Count and log a call of the given kind that got no complete answer.
 
-        What the request holds is told where the endpoint may have worked on it: tries of one
-        content under different ids are known by that alone. A call for memory holds none of it.
+        If the endpoint may have processed the request, the content hash is logged and reported to
+        the quarantine: it alone links retries of one content under different ids. A call for a hold
+        carries no content.
         """
         worked_on = broken.sent and kind != HOLD
         self.figures.count_send(kind, broken.cause.value)
@@ -109,7 +113,7 @@
             self.quarantine.note_break(request, endpoint, broken, waited_for=kind != PLAIN)
 
     def note_misdirected(self, endpoint: ServiceEndpoint, head: AnswerHead) -> None:
-        """Forget an endpoint whose address another one has; the store may tell it later or not."""
+        """Remove an endpoint whose address another one now has; the store may still list it."""
         if head.found_name is None or head.found_name == endpoint.name:
             return
         self.directory.note_replaced(endpoint.instance)
@@ -124,10 +128,10 @@
 
 @attrs.define
 class Runs:
-    """What endpoints did for a request, or may have done: they read its prompt, or ran it.
+    """Counts of the prefills and runs that endpoints executed, or may have, for one request.
 
-    A call counts from when it begins, since its caller may leave meanwhile, and no longer once it
-    is known that the endpoint did not take it up.
+    A call is counted when it starts, as the caller may disconnect during the call, and uncounted if
+    the endpoint did not execute it.
     """
 
     reads: int = 0
@@ -135,50 +139,53 @@
     sends: int = 0
 
     def begin_read(self) -> None:
-        """A prompt is sent to an endpoint that is to read it."""
+        """Count a prefill."""
         self.reads += 1
 
     def uncount_read(self) -> None:
-        """It is known that the endpoint did not take up the last one."""
+        """Uncount the last prefill, which the endpoint did not execute."""
         self.reads -= 1
 
     def begin_run(self) -> None:
-        """A request is sent to an endpoint that is to run it."""
+        """Count a run."""
         self.runs += 1
         self.sends += 1
 
     def uncount_run(self) -> None:
-        """It is known that the endpoint did not run the last one."""
+        """Uncount the last run, which the endpoint did not execute."""
         self.runs -= 1
 
     @property
     def empty(self) -> bool:
-        """Whether no endpoint has worked on the request."""
+        """True if no endpoint can have processed the request."""
         return not self.reads and not self.runs
 
 
 @attrs.frozen
 class Job:
-    """One request with its route, the service chosen for it, and the way back to its caller."""
+    """One request with its route, its service and the reply to its caller."""
 
     request: CallerRequest
     route: Route
     service: str
     reply: CallerReply
     config_version: int
-    # Its content ended endpoints, and may be run once more by one of them.
+    # The content is quarantined, as it crashed endpoints, and may run once more on trial.
     on_trial: bool = False
     charge: QuotaCharge = NOT_COUNTED
     runs: Runs = attrs.Factory(Runs)
 
     @property
     def deadline_at_ms(self) -> int:
-        """When the caller or the operator gives the request up."""
+        """The earlier of the caller's deadline and the route's timeout."""
         return self.request.arrived_ms + min(self.request.left_ms, self.route.timeout_ms)
 
 
 def retry_after_ms(request: CallerRequest, now_ms: int) -> int:
-    """When a refused caller should return: spread by its id, within what callers honour."""
+    """Return the Retry-After of a refused request in ms, spread by its id.
+
+    It stays below the limit up to which callers honour it.
+    """
     left_ms = request.arrived_ms + request.left_ms - now_ms
     most_ms = min(RETRY_AFTER_MOST_MS, RETRY_AFTER_LEFT_SHARE * left_ms)
     least_ms = min(RETRY_AFTER_LEAST_MS, most_ms / 2)
@@ -187,7 +194,7 @@
 
 
 async def send_refusal(node: NodeState, job: Job, refusal: Refuse) -> None:
-    """Give the caller our own answer, with a time to return where the request has not run."""
+    """Send a refusal to the caller, with a Retry-After if the request was not executed."""
     now_ms = node.now_ms()
     wait_ms = None
     if refusal.not_run:
@@ -211,14 +218,14 @@
 
 
 async def start_answer(node: NodeState, job: Job, head: AnswerHead) -> TrackedBody:
-    """Send status and headers; the body counts towards the node's buffers."""
+    """Send status and headers; the body is counted in the node's answer buffers."""
     body = node.buffers.track(job.request.request_id, job.reply)
     body.begin(await job.reply.start(head))
     return body
 
 
 async def relay_rest(node: NodeState, job: Job, exchange: Exchange, body: AnswerBody) -> None:
-    """Pass on what an endpoint still sends, to its good end; raises Break when it ends early."""
+    """Relay the rest of an answer up to its end; raises Break when it ends early."""
     while True:
         left_ms = max(1, job.deadline_at_ms - node.now_ms())
         chunk = await exchange.next_chunk(left_ms)
