--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the route, runs the request, ends it when it must end."""
+"""Entry point of callers' requests: routing, admission, execution, cancellation and deadline."""
 
 import logging
 
@@ -17,16 +17,17 @@
 
 logger = logging.getLogger(__name__)
 
-# Time for a runner to answer by itself at the deadline before the request is ended from here.
+# Time that a runner has to answer at the deadline before the forwarder ends the request.
 DEADLINE_SLACK_MS = 150
-# When a node without a configuration has one: the store answers in 4 ms, a start takes a second.
+# Retry-After of a node that has no configuration yet: the store answers in 4 ms, and a start takes
+# a second.
 NO_TABLE_RETRY_MS = 500
-# A node that has no configuration after this long waits for a store that is away.
+# A node that has no configuration after this time is waiting for an unavailable store.
 STORE_SLOW_MS = 1000
 
 
 class Forwarder:
-    """Serves requests by the newest routing table; an older one never replaces a newer one."""
+    """Serves requests by the newest routing table; older versions are ignored."""
 
     def __init__(self, node: NodeState, began_ms: int):
         self.table: RoutingTable | None = None
@@ -36,7 +37,7 @@
         self._usual_left_ms: dict[str, int] = {}
 
     def apply_table(self, table: RoutingTable) -> bool:
-        """Put a version in force; False when one as new is in force already."""
+        """Apply a routing table; return False if its version is not newer than the current one."""
         if self.table is not None and table.version <= self.table.version:
             return False
         old = self.table.version if self.table else None
@@ -53,7 +54,7 @@
         return True
 
     async def handle(self, request: CallerRequest, reply: CallerReply) -> None:
-        """Serve one request to its end."""
+        """Serve one request until it is answered, refused, cut or abandoned by its caller."""
         table = self.table
         if table is None:
             logger.info("event=refuse request=%s reason=no-config", request.request_id)
@@ -71,12 +72,12 @@
             await reply.refuse(404, "no-route")
             return
         service = route.choose_service(request.request_id)
-        whose = self._node.identities.identify(request, route)
-        if isinstance(whose, Refuse):
+        identified = self._node.identities.identify(request, route)
+        if isinstance(identified, Refuse):
             job = Job(request, route, service, reply, table.version)
-            await send_refusal(self._node, job, whose)
+            await send_refusal(self._node, job, identified)
             return
-        request = attrs.evolve(request, organisation=whose)
+        request = attrs.evolve(request, organisation=identified)
         job = Job(request, route, service, reply, table.version)
         self.open_requests += 1
         try:
@@ -85,21 +86,21 @@
             self.open_requests -= 1
 
     def _retry_without_table_ms(self, request: CallerRequest) -> int:
-        """Soon after a start; as late as callers bear once the store has kept this node waiting."""
+        """Return the Retry-After: short after a start, else the usual one."""
         if self._node.now_ms() - self._began_ms < STORE_SLOW_MS:
             return NO_TABLE_RETRY_MS
         return retry_after_ms(request, self._node.now_ms())
 
     async def _serve(self, job: Job, table: RoutingTable) -> None:
-        """Run until answered, until the caller leaves, or until the deadline."""
+        """Run until the request is answered, the caller disconnects or the deadline passes."""
         left_ms = job.deadline_at_ms - self._node.now_ms() + DEADLINE_SLACK_MS
         with anyio.move_on_after(max(0, left_ms) / 1000) as deadline:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._end_when_gone, job, tasks.cancel_scope)
+                tasks.start_soon(self._cancel_on_disconnect, job, tasks.cancel_scope)
                 await self._run(job, table)
                 tasks.cancel_scope.cancel()
         if deadline.cancelled_caught:
-            await self._end_late(job)
+            await self._end_at_deadline(job)
 
     async def _run(self, job: Job, table: RoutingTable) -> None:
         now_ms = self._node.now_ms()
@@ -109,7 +110,7 @@
                 await send_refusal(self._node, job, ENDS_ENDPOINTS)
                 return
             case Admission.TRIAL:
-                # One endpoint at most is to end by it.
+                # The trial may crash one endpoint at most.
                 route = attrs.evolve(job.route, max_attempts=1)
                 job = attrs.evolve(job, route=route, on_trial=True)
         charge = await self._node.quotas.admit(job.request)
@@ -118,12 +119,12 @@
             return
         job = attrs.evolve(job, charge=charge)
         try:
-            await self._send_on(job, table)
+            await self._dispatch(job, table)
         finally:
             if job.runs.empty:
                 self._node.quotas.give_back(job.charge)
 
-    async def _send_on(self, job: Job, table: RoutingTable) -> None:
+    async def _dispatch(self, job: Job, table: RoutingTable) -> None:
         service = table.services.get(job.service)
         engine = service.engine if service else None
         if engine is None or job.request.prompt is None:
@@ -133,7 +134,7 @@
         self._usual_left_ms[job.route.name] = usual_ms
         await run_generation(self._node, job, job.request.prompt, engine, usual_ms)
 
-    async def _end_when_gone(self, job: Job, scope: anyio.CancelScope) -> None:
+    async def _cancel_on_disconnect(self, job: Job, scope: anyio.CancelScope) -> None:
         await job.reply.wait_gone()
         if job.reply.finished:
             return
@@ -147,7 +148,7 @@
         self._node.figures.count("caller-gone", job.route.name)
         scope.cancel()
 
-    async def _end_late(self, job: Job) -> None:
+    async def _end_at_deadline(self, job: Job) -> None:
         if job.reply.started:
             logger.info("event=cut request=%s reason=deadline", job.request.request_id)
             self._node.figures.count("cut", job.route.name, "deadline")
