--- a/saffronworks/forwarding/messages.py
+++ b/saffronworks/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between callers' requests, the deciding cores and endpoints."""
+"""Types shared by callers' requests, the state machines and the calls to endpoints."""
 
 import enum
 import math
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class PromptSize:
-    """Tokens of a prompt, the most that its answer may have, and the caller's estimate."""
+    """Tokens of a prompt, the maximum for its answer, and the caller's estimate of the answer."""
 
     prompt_tokens: int
     most_answer_tokens: int
@@ -38,7 +38,7 @@
 
     @property
     def likely_tokens(self) -> int:
-        """The answer's likely length: the caller's estimate, else the most."""
+        """The expected tokens of the answer: the caller's estimate, or the maximum without one."""
         if self.likely_answer_tokens is None:
             return self.most_answer_tokens
         return min(self.likely_answer_tokens, self.most_answer_tokens)
@@ -46,12 +46,12 @@
 
 @attrs.frozen
 class CallerRequest:
-    """A whole request. `headers` holds the fields that go on to the endpoint, as they came.
+    """A complete request. `headers` holds the fields to forward to the endpoint, unchanged.
 
-    `left_ms` is how long the caller waits from `arrived_ms` on; `after_event` is the last event
-    that the caller has from an earlier answer. `caller` is who calls, as far as the request's own
-    fields tell; not its address, which differs by proxy and availability zone. `organisation` is
-    known once the key was looked up.
+    `left_ms` is how long the caller waits after `arrived_ms`; `after_event` is the id of the last
+    event that the caller received in an earlier answer. `caller` identifies the caller by fields of
+    the request, not by address, which differs by proxy and availability zone. `organisation` is set
+    once the key was looked up.
     """
 
     request_id: str
@@ -75,20 +75,20 @@
 
     @property
     def tokens(self) -> int | None:
-        """Its prompt's and the most of its answer's; None where it has no prompt."""
+        """The tokens of the prompt and the maximum of the answer; None without a prompt."""
         if self.prompt is None:
             return None
         return self.prompt.prompt_tokens + self.prompt.most_answer_tokens
 
     @cached_property
     def content(self) -> ContentId:
-        """What it asks for: the same for each try of a caller, whatever id the try has."""
+        """The hash of the request's content, the same for all retries of a caller."""
         caller = self.organisation.name if self.organisation else self.caller
         return content_id(self.method, self.host, self.target, caller, self.body)
 
 
 class Executed(enum.StrEnum):
-    """Whether an endpoint has run a request."""
+    """An endpoint's statement on the execution of a request."""
 
     NO = "no"
     YES = "yes"
@@ -96,11 +96,11 @@
 
 @attrs.frozen
 class AnswerHead:
-    """Start of an endpoint's answer. `signed` tells that the endpoint vouches for the body.
+    """Status and headers of an endpoint's answer. `signed`: the endpoint's stamp confirms it.
 
-    `misdirected`: the endpoint at this address is not the one that was meant, or has another role;
-    `found_name` names it where another one has the address. `asks_pause`: the endpoint rejected the
-    request and wants none of this node for some time.
+    `misdirected`: the endpoint at this address is not the intended one, or has another role;
+    `found_name` is the name of another endpoint that has the address. `asks_pause`: the endpoint
+    rejected the request and accepts none from this node for some time.
     """
 
     status: int
@@ -114,13 +114,13 @@
 
     @property
     def success(self) -> bool:
-        """Whether the endpoint says that it answered the request."""
+        """True if the status is 2xx."""
         return 200 <= self.status < 300
 
 
 @attrs.frozen
 class KvHold:
-    """Memory and a slot reserved at a decode endpoint; it serves one request."""
+    """A reservation of KV memory and a slot at a decode endpoint, for one request."""
 
     endpoint: ServiceEndpoint
     hold_id: str
@@ -129,7 +129,7 @@
 
 @attrs.frozen
 class KvHandle:
-    """A prompt that was read, kept for a moment at the endpoint that read it."""
+    """The KV cache of a prompt, kept for a short time at the endpoint that prefilled it."""
 
     endpoint: ServiceEndpoint
     handle_id: str
@@ -138,7 +138,10 @@
 
 @attrs.frozen
 class NotExecuted:
-    """An endpoint said that it did not take a call, and why; whether it asks for a pause."""
+    """An endpoint rejected a call without executing it.
+
+    `asks_pause`: it accepts no requests from this node for some time.
+    """
 
     reason: str
     asks_pause: bool = False
@@ -146,7 +149,7 @@
 
 @attrs.frozen
 class EventMark:
-    """Whole events of a stream: their bytes, and the ids of those that have one."""
+    """Complete events of a stream: their bytes, and the ids of those that have one."""
 
     data: bytes
     ids: tuple[int, ...]
@@ -154,15 +157,15 @@
 
 @attrs.frozen
 class Begin:
-    """A request was read whole."""
+    """A complete request was received."""
 
 
 @attrs.frozen
 class Refuse:
-    """Answer on our own. `not_run` is true only when no endpoint can have run the request.
+    """Refuse the request. `not_run` is true only if no endpoint can have executed it.
 
-    The caller is told to return after `retry_after_ms`; where that is None at a time of its own,
-    not before `not_before_ms`.
+    The Retry-After is `retry_after_ms`, or if that is None one computed for the request, at least
+    `not_before_ms`.
     """
 
     status: int
@@ -181,15 +184,17 @@
 
 
 def refuse_blocked(blocks: Iterable[Block]) -> Refuse:
-    """Each endpoint left is blocked: the caller is told when the first of them may take requests.
+    """Return the refusal of a request whose remaining endpoints are all blocked.
 
-    It is no failure of theirs, and waiting here would only hold up those who come later.
+    Its Retry-After is the time at which the first of them accepts requests. Holding the request
+    back until then would delay later requests.
     """
     first = min(blocks, key=lambda block: math.inf if block.for_ms is None else block.for_ms)
     reason = _BLOCKED_REASONS[first.reason]
     return Refuse(503, reason, not_run=True, not_before_ms=first.for_ms or 0)
 
 
-# A request whose content ends the endpoints that run it. No promise that it has not run, and no
-# time to return: both would have the caller send it again, which can't end otherwise.
+# Refusal of a request whose content crashes the endpoints that run it. It neither promises that the
+# request was not executed nor sets a Retry-After, as both invite a retry, which would crash another
+# endpoint.
 ENDS_ENDPOINTS = Refuse(500, "ends-endpoints", not_run=False)
