--- a/saffronworks/forwarding/pools.py
+++ b/saffronworks/forwarding/pools.py
@@ -1,4 +1,4 @@
-"""The endpoints that a generation may go to, as one node ranks them."""
+"""Ranking of the endpoints that a generation may use."""
 
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding.directory import ServiceEndpoint
@@ -18,12 +18,15 @@
     arrived_ms: int,
     now_ms: int,
 ) -> Pools:
-    """Both roles, best first, for a generation of that arrival that reserves so many tokens."""
+    """Return the usable endpoints of both roles, best first, for a generation.
+
+    `tokens` is the memory that it reserves.
+    """
     decoders = eligibility.usable(service, arrived_ms, Role.DECODE)
     prefillers = eligibility.usable(service, arrived_ms, Role.PREFILL)
     return Pools(
         _rank_decoders(decoders, loads, tokens, now_ms),
-        _rank_readers(prefillers, loads, now_ms),
+        _rank_prefillers(prefillers, loads, now_ms),
         eligibility.among([*decoders, *prefillers]),
     )
 
@@ -31,24 +34,27 @@
 def _rank_decoders(
     usable: list[ServiceEndpoint], loads: LoadTable, tokens: int, now_ms: int
 ) -> list[ServiceEndpoint]:
-    """The emptiest first, as far as this node knows; those of its own zone before others."""
+    """Sort by reserved memory, least first, as seen by this node; prefer its own zone.
+
+    Memory in another zone counts as if half of `tokens` were reserved in addition.
+    """
 
     def rank(endpoint: ServiceEndpoint) -> tuple[bool, int, StartId]:
         load = loads.of(endpoint.instance)
-        away_tokens = 0 if endpoint.zone == loads.zone else tokens // 2
+        other_zone_tokens = 0 if endpoint.zone == loads.zone else tokens // 2
         return (
             not load.circuit.admits(now_ms),
-            load.reserved_tokens + away_tokens,
+            load.reserved_tokens + other_zone_tokens,
             endpoint.instance,
         )
 
     return sorted(usable, key=rank)
 
 
-def _rank_readers(
+def _rank_prefillers(
     usable: list[ServiceEndpoint], loads: LoadTable, now_ms: int
 ) -> list[ServiceEndpoint]:
-    """Without those whose handle could not be fetched a moment ago."""
+    """Sort by load, without endpoints whose KV handle could not be fetched a moment ago."""
     trusted = [
         endpoint for endpoint in usable if loads.of(endpoint.instance).no_prefill_until_ms <= now_ms
     ]
