--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -1,4 +1,4 @@
-"""What forwarding needs from the outside; an adapter implements these."""
+"""Protocols that an adapter implements: the store, calls to endpoints, replies to callers."""
 
 from typing import Protocol
 
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class StoredObject:
-    """One object of the store; `content` is None where it was removed."""
+    """One object of the store; `content` is None if the object was removed."""
 
     name: str
     revision: StoreRevision
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Listing:
-    """Objects of one kind: all of them, or those that changed, and the store's revision."""
+    """All objects of one kind, or those that changed, and the store's revision."""
 
     objects: tuple[StoredObject, ...]
     revision: StoreRevision
@@ -50,9 +50,9 @@
 
 @attrs.frozen
 class SourceFailure:
-    """The store gave no usable answer. `applied` is false only when a write did nothing.
+    """The store gave no usable answer. `applied` is false only if a write had no effect.
 
-    `cut` tells that an open connection was closed or reset: until then the path was good.
+    `cut`: an open connection was closed or reset, so the network path worked until then.
     """
 
     reason: str
@@ -62,28 +62,28 @@
 
 @attrs.frozen
 class HistoryGone:
-    """The changes since the revision asked for are no longer kept: list anew."""
+    """The changes since the requested revision are no longer kept; list the objects again."""
 
 
 @attrs.frozen
 class Conflict:
-    """A conditional write found the object at another revision, or already there."""
+    """A conditional write failed: the object is at another revision, or exists already."""
 
     found: StoredObject | None
 
 
 class ObjectSource(Protocol):
-    """The store of objects by kind and name."""
+    """A versioned store of objects by kind and name."""
 
     async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
-        """All objects of a kind; `stale` accepts an answer that is seconds old."""
+        """List all objects of a kind; `stale` accepts an answer that is seconds old."""
 
     async def watch(
         self, kind: str, revision: StoreRevision, wait_ms: int
     ) -> Result[Listing, HistoryGone | SourceFailure]:
-        """What changed since a revision; waits until something has.
+        """Return the changes since a revision; waits up to `wait_ms` for the first one.
 
-        The answer may be of a later epoch than `revision`. It then lacks changes: list anew.
+        An answer of a later epoch than `revision` may lack changes; list the objects again then.
         """
 
     async def create(
@@ -94,38 +94,38 @@
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
     ) -> Result[StoredObject, Conflict | SourceFailure]:
-        """Write an object if it is still at that revision."""
+        """Write an object if it is still at `revision`."""
 
     async def remove(self, kind: str, name: str) -> Result[None, SourceFailure]:
-        """Remove an object; it is no failure when there is none."""
+        """Remove an object; succeeds if there is none."""
 
 
 class Exchange(Protocol):
-    """One request on its way through one endpoint."""
+    """One request to one endpoint, and its answer."""
 
     connection: EndpointConnection
 
     @property
     def framed(self) -> bool:
-        """Whether the answer tells its own end; else only a close does."""
+        """True if the answer marks its own end; otherwise only closing the connection ends it."""
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises Break."""
+        """Return the status and headers of the answer; raises Break."""
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """A part of the body, None at its end; raises Break."""
+        """Return the next part of the body, None at its end; raises Break."""
 
     def end(self) -> None:
-        """Give the connection back, or close it when the answer is not whole."""
+        """Return the connection to the pool, or close it if the answer is incomplete."""
 
 
 class EndpointCalls(Protocol):
-    """Calls to endpoints. All raise Break when the exchange ended without an answer."""
+    """Calls to endpoints. All raise Break if the exchange ends without an answer."""
 
     async def send(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
     ) -> Exchange:
-        """Send a request on."""
+        """Forward a request."""
 
     async def open_stream(
         self,
@@ -136,7 +136,11 @@
         handle: KvHandle | None,
         after_event: int | None,
     ) -> Exchange:
-        """Send a generation to a decode endpoint, with the prompt read elsewhere or not."""
+        """Send a generation to a decode endpoint.
+
+        With a `handle` the endpoint fetches the prompt's KV cache, without one it prefills itself.
+        The stream continues after `after_event`.
+        """
 
     async def take_hold(
         self,
@@ -146,75 +150,78 @@
         ttl_ms: int,
         now_ms: int,
     ) -> Result[KvHold, NotExecuted]:
-        """Reserve a slot and memory for a request."""
+        """Reserve a slot and KV memory for a request, for up to `ttl_ms`."""
 
     async def drop_hold(self, hold: KvHold) -> None:
-        """Free a hold that serves nobody."""
+        """Release an unused hold."""
 
     async def prefill(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
     ) -> Result[KvHandle, NotExecuted]:
-        """Have a prompt read."""
+        """Prefill a prompt at a prefill endpoint."""
 
     async def drop_handle(self, handle: KvHandle) -> None:
-        """Free a prompt that nobody takes."""
+        """Release an unused KV handle."""
 
     async def listens(self, endpoint: ServiceEndpoint) -> bool | None:
-        """Whether somebody takes connections at its address; None when nothing comes back."""
+        """Return True if its address accepts connections, False if not, None without any reply."""
 
     async def order_role(
         self, endpoint: ServiceEndpoint, role: Role, holder: str, fence: int
     ) -> Result[None, NotExecuted]:
-        """Order an endpoint into another role."""
+        """Order an endpoint to change its role, with the fencing token `fence`."""
 
 
 class AnswerBody(Protocol):
-    """The body of an answer whose status and headers are out."""
+    """The body of an answer whose status and headers were sent."""
 
     async def write(self, data: bytes) -> None:
-        """Send a part."""
+        """Send a part of the body."""
 
     async def finish(self) -> None:
-        """End it, so that the answer looks complete."""
+        """End the body, so that the answer is complete."""
 
 
 class CallerReply(Protocol):
-    """The way back to one caller."""
+    """The reply to one caller."""
 
     @property
     def started(self) -> bool:
-        """Whether status and headers are out."""
+        """True once status and headers were sent."""
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer is out."""
+        """True once the complete answer was sent."""
 
     async def start(self, head: AnswerHead) -> AnswerBody:
-        """Send status and headers; the body follows."""
+        """Send status and headers, and return the body to write to."""
 
     async def refuse(self, status: int, reason: str, retry_after_ms: int | None = None) -> None:
-        """Answer on our own; a `retry_after_ms` goes with statuses that promise *not run*."""
+        """Refuse the request; `retry_after_ms` is set if it was not executed."""
 
     async def wait_gone(self) -> None:
-        """Return when the caller has left."""
+        """Return when the caller has disconnected."""
 
     def cut(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        """Close the connection, so that the answer is seen to be incomplete."""
 
     async def drain(self) -> None:
-        """Return once nothing that was written is in this process any more."""
+        """Return once all written data was passed to the kernel."""
 
     def disconnect(self) -> None:
-        """Close the connection at once, with what was written to it and not read."""
+        """Close the connection at once and discard data that the caller has not read."""
 
     @property
     def connection_key(self) -> int:
-        """The same for all answers on one connection of the caller, while it is open."""
+        """A key of the caller's connection, the same for all answers on it while it is open."""
 
     @property
     def buffered_bytes(self) -> int:
-        """What was written and is in this process still."""
+        """Bytes that were written and are still in this process."""
 
     @property
     def unread_bytes(self) -> int:
-        """What was written and the caller's machine has not taken; other buffers count as well."""
+        """Bytes that were written and not acknowledged by the caller's machine.
+
+        They include those in the kernel's buffers.
+        """
