--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -113,7 +113,7 @@
             self._release()
 
     def _decide(self, event: events.Event) -> events.Command:
-        node, now_ms, begun = self._node, self._node.now_ms(), self._state.answer_started
+        node, now_ms, answer_started = self._node, self._node.now_ms(), self._state.answer_started
         pools = rank_pools(
             node.eligibility,
             node.loads,
@@ -125,7 +125,7 @@
         denial = node.denial(self._job, self._trial_began)
         command = generation_core.step(self._state, event, pools, node.budget, now_ms, denial)
         if not isinstance(command, events.Wait | events.TakeHold):
-            self._log_decision(event, command, pools, begun, now_ms)
+            self._log_decision(event, command, pools, answer_started, now_ms)
         return command
 
     def _log_decision(
@@ -133,7 +133,7 @@
         event: events.Event,
         command: events.Command,
         pools: Pools,
-        begun: bool,
+        answer_started: bool,
         now_ms: int,
     ) -> None:
         endpoint = getattr(command, "endpoint", None)
@@ -153,7 +153,7 @@
             len(pools.prefillers),
             self._state.runs,
             self._state.reads,
-            begun,
+            answer_started,
             event.head.status if isinstance(event, events.StreamAnswered) else None,
             self._node.eligibility.describe(endpoint.instance) if endpoint else None,
             self._node.directory.revision,
