--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from saffronworks.forwarding.ports import Conflict, ObjectSource, StoredObject
+from saffronworks.forwarding.ports import Conflict, ObjectStore, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
 from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
 from saffronworks.web import is_address
@@ -69,7 +69,7 @@
         address: str,
         cores: float,
         zone: str,
-        store: ObjectSource,
+        store: ObjectStore,
         rng: random.Random,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -8,7 +8,7 @@
 import anyio
 from result import Err
 
-from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectSource, SourceFailure
+from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectStore, SourceFailure
 from saffronworks.forwarding.store_news import NewsFeed, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
 from saffronworks.forwarding.tuning import (
@@ -53,7 +53,7 @@
     def __init__(
         self,
         kind: str,
-        source: ObjectSource,
+        source: ObjectStore,
         sink: ObjectSink,
         rng: random.Random,
         now_ms: Callable[[], int],
--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -25,7 +25,7 @@
     "Exchange",
     "HistoryGone",
     "Listing",
-    "ObjectSource",
+    "ObjectStore",
     "SourceFailure",
     "StoredObject",
 ]
@@ -72,7 +72,7 @@
     found: StoredObject | None
 
 
-class ObjectSource(Protocol):
+class ObjectStore(Protocol):
     """A versioned store of objects by kind and name."""
 
     async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
--- a/saffronworks/forwarding/quarantine/records.py
+++ b/saffronworks/forwarding/quarantine/records.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from saffronworks.forwarding.contents import ContentId
-from saffronworks.forwarding.ports import Conflict, ObjectSource, StoredObject
+from saffronworks.forwarding.ports import Conflict, ObjectStore, StoredObject
 from saffronworks.forwarding.quarantine.messages import Suspicion
 from saffronworks.forwarding.starts import StartId
 
@@ -29,7 +29,7 @@
 class QuarantineRecords:
     """Reads and writes them; each call tells whether the store has answered."""
 
-    def __init__(self, store: ObjectSource):
+    def __init__(self, store: ObjectStore):
         self._store = store
 
     async def list_all(self) -> list[Suspicion] | None:
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.messages import CallerRequest
-from saffronworks.forwarding.ports import EndpointCalls, ObjectSource
+from saffronworks.forwarding.ports import EndpointCalls, ObjectStore
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
 from saffronworks.forwarding.quarantine.events import Found
@@ -49,7 +49,7 @@
         own_address: str,
         directory: Directory,
         calls: EndpointCalls,
-        store: ObjectSource,
+        store: ObjectStore,
         rng: random.Random,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.ports import (
     Conflict,
     EndpointCalls,
-    ObjectSource,
+    ObjectStore,
     SourceFailure,
     StoredObject,
 )
@@ -44,7 +44,7 @@
         self,
         state: Callable[[], RoleState],
         directory: Directory,
-        store: ObjectSource,
+        store: ObjectStore,
         calls: EndpointCalls,
         table: Callable[[], RoutingTable | None],
         node_order: NodeOrder,
--- a/saffronworks/forwarding/store_circuit.py
+++ b/saffronworks/forwarding/store_circuit.py
@@ -17,7 +17,7 @@
     Conflict,
     HistoryGone,
     Listing,
-    ObjectSource,
+    ObjectStore,
     SourceFailure,
     StoredObject,
 )
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        source: ObjectSource,
+        source: ObjectStore,
         rng: random.Random,
         now_ms: Callable[[], int],
         told: Callable[[], bool],
