--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -8,7 +8,7 @@
 import anyio
 from result import Err
 
-from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectStore, SourceFailure
+from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectStore, ObjectStoreFailure
 from saffronworks.forwarding.store_news import NewsFeed, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
 from saffronworks.forwarding.tuning import (
@@ -241,17 +241,17 @@
         """Whether a peer's update was newer than an answer on its way."""
         return self._revision is not None and heard.revision < self._revision
 
-    def _handle_failure(self, failure: HistoryGone | SourceFailure) -> None:
+    def _handle_failure(self, failure: HistoryGone | ObjectStoreFailure) -> None:
         """Changes may be missing: list again, unless a peer's update comes first."""
         self._lists_next = True
         match failure:
             case HistoryGone():
                 logger.info("event=history_gone kind=%s revision=%s", self.kind, self._revision)
                 self._histories_gone += 1
-            case SourceFailure():
+            case ObjectStoreFailure():
                 self._fail(failure)
 
-    def _fail(self, failure: SourceFailure) -> None:
+    def _fail(self, failure: ObjectStoreFailure) -> None:
         self._failures += 1
         self._trouble_ms = self._now_ms() if failure.cut else self._asked_ms
         if self._failures == 1:
--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -26,7 +26,7 @@
     "HistoryGone",
     "Listing",
     "ObjectStore",
-    "SourceFailure",
+    "ObjectStoreFailure",
     "StoredObject",
 ]
 
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class SourceFailure:
+class ObjectStoreFailure:
     """The store gave no usable answer. `applied` is false only if a write had no effect.
 
     `cut`: an open connection was closed or reset, so the network path worked until then.
@@ -75,12 +75,14 @@
 class ObjectStore(Protocol):
     """A versioned store of objects by kind and name."""
 
-    async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
+    async def list_objects(
+        self, kind: str, stale: bool = False
+    ) -> Result[Listing, ObjectStoreFailure]:
         """List all objects of a kind; `stale` accepts an answer that is seconds old."""
 
     async def watch(
         self, kind: str, revision: StoreRevision, wait_ms: int
-    ) -> Result[Listing, HistoryGone | SourceFailure]:
+    ) -> Result[Listing, HistoryGone | ObjectStoreFailure]:
         """Return the changes since a revision; waits up to `wait_ms` for the first one.
 
         An answer of a later epoch than `revision` may lack changes; list the objects again then.
@@ -88,15 +90,15 @@
 
     async def create(
         self, kind: str, name: str, content: bytes
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object that must not exist yet."""
 
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object if it is still at `revision`."""
 
-    async def remove(self, kind: str, name: str) -> Result[None, SourceFailure]:
+    async def remove(self, kind: str, name: str) -> Result[None, ObjectStoreFailure]:
         """Remove an object; succeeds if there is none."""
 
 
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -15,7 +15,7 @@
     Conflict,
     EndpointCalls,
     ObjectStore,
-    SourceFailure,
+    ObjectStoreFailure,
     StoredObject,
 )
 from saffronworks.forwarding.role_core import (
@@ -138,7 +138,7 @@
 
 
 def _read_duty(
-    reply: Result[StoredObject, Conflict | SourceFailure],
+    reply: Result[StoredObject, Conflict | ObjectStoreFailure],
     asked_at: StoreRevision | None,
     is_holder: bool,
 ) -> role_core.Event:
--- a/saffronworks/forwarding/store_circuit.py
+++ b/saffronworks/forwarding/store_circuit.py
@@ -18,7 +18,7 @@
     HistoryGone,
     Listing,
     ObjectStore,
-    SourceFailure,
+    ObjectStoreFailure,
     StoredObject,
 )
 from saffronworks.forwarding.store_revisions import StoreRevision
@@ -82,29 +82,31 @@
         self._circuit = StoreCircuit()
         self._changed = anyio.Event()
 
-    async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
+    async def list_objects(
+        self, kind: str, stale: bool = False
+    ) -> Result[Listing, ObjectStoreFailure]:
         """All objects of a kind."""
         return await self._guard(lambda: self._source.list_objects(kind, stale))
 
     async def watch(
         self, kind: str, revision: StoreRevision, wait_ms: int
-    ) -> Result[Listing, HistoryGone | SourceFailure]:
+    ) -> Result[Listing, HistoryGone | ObjectStoreFailure]:
         """What changed since a revision."""
         return await self._guard(lambda: self._source.watch(kind, revision, wait_ms))
 
     async def create(
         self, kind: str, name: str, content: bytes
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object that must not exist yet."""
         return await self._guard(lambda: self._source.create(kind, name, content))
 
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object if it is still at that revision."""
         return await self._source.replace(kind, name, content, revision)
 
-    async def remove(self, kind: str, name: str) -> Result[None, SourceFailure]:
+    async def remove(self, kind: str, name: str) -> Result[None, ObjectStoreFailure]:
         """Remove an object."""
         return await self._source.remove(kind, name)
 
@@ -116,7 +118,9 @@
         answered: bool | None = None
         try:
             reply = await call()
-            answered = not (isinstance(reply, Err) and isinstance(reply.err_value, SourceFailure))
+            answered = not (
+                isinstance(reply, Err) and isinstance(reply.err_value, ObjectStoreFailure)
+            )
             return reply
         finally:
             if answered is None:
--- a/saffronworks/platform/store.py
+++ b/saffronworks/platform/store.py
@@ -15,7 +15,7 @@
     Conflict,
     HistoryGone,
     Listing,
-    SourceFailure,
+    ObjectStoreFailure,
     StoredObject,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
@@ -106,7 +106,9 @@
         """Close all connections."""
         await self._pool.aclose()
 
-    async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
+    async def list_objects(
+        self, kind: str, stale: bool = False
+    ) -> Result[Listing, ObjectStoreFailure]:
         """All objects of a kind, page by page."""
         objects: list[StoredObject] = []
         revision: StoreRevision | None = None
@@ -124,16 +126,16 @@
             # Changes to earlier pages come after the revision of the first one.
             revision = revision or StoreRevision(epoch, page.ok_value.current_rev)
             if revision.epoch != epoch:
-                return Err(SourceFailure("restored between two pages"))
+                return Err(ObjectStoreFailure("restored between two pages"))
             objects += _decode_each(page.ok_value.items, _Object, epoch)
             if not page.ok_value.has_more or not objects:
                 return Ok(Listing(tuple(objects), revision))
             after = objects[-1].name
-        return Err(SourceFailure("a listing without end"))
+        return Err(ObjectStoreFailure("a listing without end"))
 
     async def watch(
         self, kind: str, revision: StoreRevision, wait_ms: int
-    ) -> Result[Listing, HistoryGone | SourceFailure]:
+    ) -> Result[Listing, HistoryGone | ObjectStoreFailure]:
         """What changed since a revision; answers at the first change or after `wait_ms`."""
         path = _path(kind, query=[f"watch={revision.number}", f"wait_ms={wait_ms}"])
         reply = await self._call("GET", path, wait_ms / 1000 + ANSWER_TIMEOUT_S)
@@ -150,19 +152,19 @@
 
     async def create(
         self, kind: str, name: str, content: bytes
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object that must not exist yet."""
         body = _encode(name, content, None)
         return _read_written(await self._call("POST", _path(kind), content=body))
 
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
-    ) -> Result[StoredObject, Conflict | SourceFailure]:
+    ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
         """Write an object if it is still at that revision."""
         body = _encode(name, content, revision.number)
         return _read_written(await self._call("PUT", _path(kind, name), content=body))
 
-    async def remove(self, kind: str, name: str) -> Result[None, SourceFailure]:
+    async def remove(self, kind: str, name: str) -> Result[None, ObjectStoreFailure]:
         """Remove an object; it is no failure when there is none."""
         reply = await self._call("DELETE", _path(kind, name))
         if isinstance(reply, Err):
@@ -172,7 +174,7 @@
 
     async def _call(
         self, method: str, path: str, timeout_s: float = ANSWER_TIMEOUT_S, content: bytes = b""
-    ) -> Result[_Reply, SourceFailure]:
+    ) -> Result[_Reply, ObjectStoreFailure]:
         headers = [(b"host", self._address.encode())]
         if content:
             headers += [
@@ -187,10 +189,10 @@
                 method, url, headers=headers, content=content, extensions={"timeout": timeout}
             )
         except _NOT_SENT as error:
-            return Err(SourceFailure(type(error).__name__))
+            return Err(ObjectStoreFailure(type(error).__name__))
         except _BROKEN as error:
             cut = not isinstance(error, httpcore.TimeoutException)
-            return Err(SourceFailure(type(error).__name__, applied=writes, cut=cut))
+            return Err(ObjectStoreFailure(type(error).__name__, applied=writes, cut=cut))
         return Ok(_Reply(response.status, response.content, self._read_epoch(response.headers)))
 
     def _read_epoch(self, headers: list[tuple[bytes, bytes]]) -> int:
@@ -218,17 +220,17 @@
     return msgspec.json.encode({"metadata": metadata, "spec": msgspec.Raw(content)})
 
 
-def _refused(reply: _Reply) -> SourceFailure:
-    return SourceFailure(f"status {reply.status}")
+def _refused(reply: _Reply) -> ObjectStoreFailure:
+    return ObjectStoreFailure(f"status {reply.status}")
 
 
-def _read(reply: _Reply, kind: type[T]) -> Result[T, SourceFailure]:
+def _read(reply: _Reply, kind: type[T]) -> Result[T, ObjectStoreFailure]:
     if reply.status != 200:
         return Err(_refused(reply))
     try:
         return Ok(msgspec.json.decode(reply.content, type=kind))
     except msgspec.MsgspecError as error:
-        return Err(SourceFailure(f"unreadable: {error}"))
+        return Err(ObjectStoreFailure(f"unreadable: {error}"))
 
 
 def _decode_each(
@@ -247,8 +249,8 @@
 
 
 def _read_written(
-    reply: Result[_Reply, SourceFailure],
-) -> Result[StoredObject, Conflict | SourceFailure]:
+    reply: Result[_Reply, ObjectStoreFailure],
+) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
     if isinstance(reply, Err):
         return Err(reply.err_value)
     status, content = reply.ok_value.status, reply.ok_value.content
@@ -259,7 +261,7 @@
         stored: StoredObject | None = found.decode(reply.ok_value.epoch)
     except msgspec.MsgspecError as error:
         if status != 409:
-            return Err(SourceFailure(f"unreadable: {error}", applied=True))
+            return Err(ObjectStoreFailure(f"unreadable: {error}", applied=True))
         logger.info("event=conflict_unreadable error=%r", str(error))
         stored = None
     if status == 409:
--- a/saffronworks/tests/features/steps/followers_steps.py
+++ b/saffronworks/tests/features/steps/followers_steps.py
@@ -12,7 +12,7 @@
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.followers import Follower
-from saffronworks.forwarding.ports import Listing, SourceFailure, StoredObject
+from saffronworks.forwarding.ports import Listing, ObjectStoreFailure, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import (
     LAPSE_AFTER_MS,
@@ -27,7 +27,7 @@
 WAIT_MS = 1000
 # As the users' small sites have it: in touch after 3 s, and bound 2 s later.
 KNOWN_WITHIN_MS = 5000
-SILENT = SourceFailure("ReadTimeout")
+SILENT = ObjectStoreFailure("ReadTimeout")
 # A listing takes 4 ms an answer, and a store that many ask at once some more.
 LIST_ANEW_MS = 500
 # With less, watches are as short as they get, which is long enough for a poll.
@@ -160,7 +160,7 @@
 
 @then("after a watch that was cut, entries that are missing are gone")
 def cut(context):
-    assert usable_for_ms(SourceFailure("ReadError", cut=True), LAPSE_AFTER_MS + 1) == 0
+    assert usable_for_ms(ObjectStoreFailure("ReadError", cut=True), LAPSE_AFTER_MS + 1) == 0
 
 
 @then("after a watch that stayed silent for long, they may have lapsed")
--- a/saffronworks/tests/features/steps/platform_input_steps.py
+++ b/saffronworks/tests/features/steps/platform_input_steps.py
@@ -5,7 +5,7 @@
 from behave import then
 from result import Err, Ok
 
-from saffronworks.forwarding.ports import Conflict, HistoryGone, SourceFailure
+from saffronworks.forwarding.ports import Conflict, HistoryGone, ObjectStoreFailure
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.platform.configuration import read_configuration
 from saffronworks.platform.settings import read_platform_settings
@@ -93,10 +93,10 @@
         assert (await client.watch("kind", at(1), 50)).err_value == HistoryGone()
         store.fault = "lost"
         lost = (await client.replace("kind", "a", b"{}", written.revision)).err_value
-        assert isinstance(lost, SourceFailure) and lost.applied, lost
+        assert isinstance(lost, ObjectStoreFailure) and lost.applied, lost
         for fault in ("busy", "limited"):
             store.fault = fault
             refused = (await client.create("kind", "b", b"{}")).err_value
-            assert isinstance(refused, SourceFailure) and not refused.applied, refused
+            assert isinstance(refused, ObjectStoreFailure) and not refused.applied, refused
 
     with_store(play)
--- a/saffronworks/tests/features/steps/store_circuit_steps.py
+++ b/saffronworks/tests/features/steps/store_circuit_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 from result import Err, Ok
 
-from saffronworks.forwarding.ports import Listing, SourceFailure
+from saffronworks.forwarding.ports import Listing, ObjectStoreFailure
 from saffronworks.forwarding.store_circuit import GuardedSource, StoreCircuit
 from saffronworks.forwarding.tuning import (
     PROBE_PAUSE_MS,
@@ -118,7 +118,7 @@
 @then("the next one asks, and a write under a condition waits for nobody")
 def next_asks(context):
     async def main():
-        store = GivenStore(Err(SourceFailure("status 503")))
+        store = GivenStore(Err(ObjectStoreFailure("status 503")))
         source = guarded(store)
         store.may_answer.set()
         await source.list_objects("config")
--- a/saffronworks/tests/features/steps/store_restore_steps.py
+++ b/saffronworks/tests/features/steps/store_restore_steps.py
@@ -5,7 +5,7 @@
 from result import Ok
 
 from saffronworks.forwarding.census import NODE_KIND
-from saffronworks.forwarding.ports import SourceFailure
+from saffronworks.forwarding.ports import ObjectStoreFailure
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.platform.store import PlatformStore
 from saffronworks.standins.sites import wait_until
@@ -216,4 +216,4 @@
 @then("pages of different epochs are no listing")
 def pages_of_epochs(context):
     failure = list_while(lambda store: store.restore(store.snapshot()))
-    assert isinstance(failure, SourceFailure), failure
+    assert isinstance(failure, ObjectStoreFailure), failure
--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -8,7 +8,7 @@
 from saffronworks.clocks import monotonic_ms
 from saffronworks.forwarding.followers import Follower
 from saffronworks.forwarding.node_order import NodeOrder
-from saffronworks.forwarding.ports import HistoryGone, Listing, SourceFailure, StoredObject
+from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectStoreFailure, StoredObject
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.kernel import Kernel
@@ -104,14 +104,14 @@
             await anyio.sleep_forever()
         if self.cut:
             await anyio.sleep(0.05)
-            return Err(SourceFailure("ConnectTimeout"))
+            return Err(ObjectStoreFailure("ConnectTimeout"))
         self.store.calls += 1
         if revision is None:
             self.epoch.observe(self.store.epoch)
             return Ok(self.store.listing())
         heard = await self.store.since(revision, wait_ms)
         if self.cut:
-            return Err(SourceFailure("ReadError", cut=True))
+            return Err(ObjectStoreFailure("ReadError", cut=True))
         if self.dead:
             await anyio.sleep(5)
         return heard
