--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -135,7 +135,7 @@
         await run_generation(self._node, job, job.request.prompt, engine, usual_ms)
 
     async def _cancel_on_disconnect(self, job: Job, scope: anyio.CancelScope) -> None:
-        await job.reply.wait_gone()
+        await job.reply.wait_disconnected()
         if job.reply.finished:
             return
         waited_ms = self._node.now_ms() - job.request.arrived_ms
--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -201,7 +201,7 @@
     async def refuse(self, status: int, reason: str, retry_after_ms: int | None = None) -> None:
         """Refuse the request; `retry_after_ms` is set if it was not executed."""
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the caller has disconnected."""
 
     def cut(self) -> None:
--- a/saffronworks/platform/ingress.py
+++ b/saffronworks/platform/ingress.py
@@ -171,7 +171,7 @@
             headers["connection"] = "close"
         await self._call.reply(status, {"error": reason}, headers)
 
-    async def wait_gone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return when the caller has left."""
         await self._call.wait_gone()
 
