--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -34,7 +34,7 @@
 
 # Kind of the store objects that name the node which may order role changes, one per service.
 DUTY_KIND = "saffron-duties"
-LOOK_EVERY_MS = 500
+CHECK_INTERVAL_MS = 500
 
 
 class RoleKeeper:
@@ -65,7 +65,7 @@
     async def run(self) -> None:
         """Check all services every `LOOK_EVERY_MS` until cancelled."""
         while True:
-            await anyio.sleep(LOOK_EVERY_MS / 1000)
+            await anyio.sleep(CHECK_INTERVAL_MS / 1000)
             table = self._table()
             for service in table.services.values() if table else ():
                 if service.engine is not None:
