--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -69,13 +69,13 @@
             table = self._table()
             for service in table.services.values() if table else ():
                 if service.engine is not None:
-                    await self._look(service.name)
+                    await self._check(service.name)
 
     def _forget_duties(self) -> None:
         for state in self._states.values():
             role_core.step(state, StoreRestored(), self._now_ms())
 
-    async def _look(self, service: str) -> None:
+    async def _check(self, service: str) -> None:
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
         position = self._node_order.position(f"{DUTY_KIND}/{service}")
