--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class _Serve:
+class _StreamReady:
     """An endpoint has started a stream for the caller."""
 
     head: AnswerHead
@@ -78,7 +78,7 @@
 
 
 # The outcome of a step, before it is mapped to a command by what the caller has received.
-_Result = AttemptCommand | _Serve | _GiveUp
+_Result = AttemptCommand | _StreamReady | _GiveUp
 
 
 def step(
@@ -101,7 +101,7 @@
 def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | StartCommand:
     """Nothing was sent yet: send the head of a stream or of a failure, or a refusal."""
     match result:
-        case _Serve(head):
+        case _StreamReady(head):
             state.delivered = Delivered.STREAM
             return StartStream(head)
         case _GiveUp(_, AnswerHead() as failure):
@@ -121,7 +121,7 @@
     proper end after them would make a truncated stream look complete.
     """
     match result:
-        case _Serve():
+        case _StreamReady():
             return ContinueStream()
         case _GiveUp(refusal):
             return Cut(refusal.reason)
@@ -312,7 +312,7 @@
         return _redirect(state, pools, now_ms, head.reason)
     state.runs += 1
     if head.success and head.signed:
-        return _Serve(head)
+        return _StreamReady(head)
     state.mark_broken(instance)
     signed = head.signed and not promises_not_run(head.status)
     return _retry_run(state, pools, now_ms, _broken_answer(head if signed else None))
