--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -63,7 +63,7 @@
         self._written = 0
 
     async def run(self) -> None:
-        """Check all services every `LOOK_EVERY_MS` until cancelled."""
+        """Check all services every `CHECK_INTERVAL_MS` until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_MS / 1000)
             table = self._table()
