--- a/saffronworks/tests/features/forwarding.feature
+++ b/saffronworks/tests/features/forwarding.feature
@@ -1,55 +1,55 @@
-Feature: decisions on callers' requests on the way to endpoints
+Feature: routing, retries, generations, configuration and role changes
 
-  Scenario: the longest prefix of a host wins, and a split keeps its weights
+  Scenario: the longest matching prefix of a host wins, and a split follows its weights
     Given a routing table with nested prefixes and a split of nine to one
-    Then the most exact route is found, and none for another host
-    And about one request in ten goes to the lesser service, the same one each time
+    Then the route with the longest matching prefix is found, and none for another host
+    And about one request in ten goes to the service of smaller weight, always the same ones
 
-  Scenario: a request that may not repeat runs at most once, and a refusal of it is truthful
-    Then whatever endpoints answer, a request that may not repeat is sent on only while it has not run
-    And only a request that has not run is refused with a promise
+  Scenario: an unrepeatable request runs at most once, and its refusal says correctly if it ran
+    Then whatever endpoints answer, an unrepeatable request is sent again only if it was not executed
+    And only the refusal of a request that was not executed promises so
 
-  Scenario: a repeatable request is tried on as many endpoints as its route allows
-    Then whatever endpoints answer, it runs on two at most, none of them twice
+  Scenario: a repeatable request is executed at most as often as its route allows
+    Then whatever endpoints answer, it runs on two endpoints at most, and on none twice
 
-  Scenario: extra sends stay within the budget
-    Then whatever comes, extra sends in any window stay below the node's part
+  Scenario: retries stay within the retry budget
+    Then for any arrivals, the retries in any window stay below the node's share of the budget
 
   Scenario: a generation reserves memory before its prompt is read
-    Given a generation for two full decode endpoints and a free one
-    Then it asks them in order, reads once, and opens the stream where the memory is
-    And a decode endpoint that the planner named as reader reads by itself, until it starts over
-    And a caller who comes first is refused early, one who returned waits longer
+    Given a generation, two full decode endpoints and a free one
+    Then it asks them in order, prefills once, and opens the stream where memory is reserved
+    And a decode endpoint chosen for the prefill reads the prompt itself, until the next restart
+    And a caller's first attempt is refused early, and a retry waits longer for memory
 
-  Scenario: the planner hears once what a request met
-    Given a generation whose reader refused and whose next reader broke
-    Then the planner hears of the one that broke, and hears it once
-    And where a handle was lost, of the reader that had it
+  Scenario: failed endpoints are reported to the planner once
+    Given a generation rejected by one prefill endpoint and broken off by the next
+    Then the one that broke off is reported to the planner, and only once
+    And after a lost KV handle, the prefill endpoint that held it is reported
 
-  Scenario: a generation that may not repeat streams at most once
-    Then whatever endpoints answer, a generation that may not repeat runs once at most
-    And a generation that has run is never refused with a promise
+  Scenario: an unrepeatable generation is executed at most once
+    Then whatever endpoints answer, an unrepeatable generation runs at most once
+    And the refusal of a generation that was executed never promises that it was not
 
-  Scenario: a resumable stream goes on elsewhere after its last whole event
+  Scenario: a resumable stream continues at another endpoint after its last complete event
     Given a resumable stream that broke after some events
-    Then memory is reserved at another endpoint, and the stream goes on there
-    And a stream that may not be resumed is cut
+    Then memory is reserved at another endpoint, and the stream continues there
+    And a stream that is not resumable is cut
 
-  Scenario: a stream is cut at event boundaries wherever its bytes were split
-    Then for any split of the bytes only whole events go out, with their ids
+  Scenario: a stream is split at event boundaries however its bytes arrive
+    Then for any split of the bytes only complete events are passed on, with their ids
 
-  Scenario: an endpoint that fails or is slow gets less, and returns in time
-    Given three endpoints of which one fails and one is far slower
-    Then the sound one is first, and after a while the others are tried again
-    And an endpoint that cannot be reached is passed over at its first failure
+  Scenario: a failing or slow endpoint ranks lower, and is tried again later
+    Given three endpoints, of which one fails and one is much slower
+    Then the healthy one ranks first, and after a while the others are tried again
+    And an unreachable endpoint ranks last after its first failure
 
-  Scenario: an entry that lapsed while the store was away stays usable for a while
+  Scenario: an entry that expired while the store was unavailable stays usable for a while
     Given a directory that was listed before an outage of the store
-    Then an entry missing right after it stays usable for two seconds
-    And one that was draining, or that goes at another time, is gone at once
-    And one whose address another endpoint has stays gone, whatever the store still says
+    Then an entry missing right after the outage stays usable for two seconds
+    And a draining entry, or one removed at another time, is dropped at once
+    And an entry whose address another endpoint has stays removed, even if the store lists it
 
-  Scenario: changes of the store that come in swarms are taken together
+  Scenario: many changes of the store within a short time are fetched in few calls
     When a follower hears thirty changes within half a second
     Then the first is known at once, and few calls bring the others
 
@@ -61,29 +61,29 @@
     And a watch that is lost ends early enough to list anew
 
   Scenario: an older configuration never replaces a newer one
-    Given a forwarder with version five in force
-    Then version four is not taken, and version six is
-
-  Scenario: one holder orders a surplus reader to decode
-    Given two of five engines read prompts
-    Then after two seconds the duty is asked for, and one engine is ordered
-    And another node that finds the duty taken gives no order
-    And of two hundred nodes few ask for the duty, and the others when nobody takes it
-    And a node that took the duty over waits out the lease before it orders
-    And an order without an answer is given again to the same engine, with a higher fence
-    And several surplus readers are ordered one after the other, without waiting for each
-
-  Scenario: a service without a reader gets one
-    Given a service whose only reader has left
-    Then one of its decode engines is ordered to read after a moment, if another remains
-    And an order is over when its engine has left
-
-  Scenario: a service without an endpoint that decodes gets one
-    Given a service whose only decode engine has left, and readers remain
-    Then one of them is ordered to decode after a moment, also when it is the last engine
-    And readers that enter first at a start are given time for the others to enter
-    And once it decodes there is no further order
-
-  Scenario: a holder that stood still after its confirmation gives no order
-    Given a role keeper whose confirmation took longer than allowed
+    Given a forwarder that applied version five
+    Then version four is rejected, and version six is applied
+
+  Scenario: one holder orders a surplus prefill endpoint to decode
+    Given two prefill endpoints out of five engines
+    Then after two seconds the duty is taken, and one engine is ordered to decode
+    And a node that finds the duty taken gives no order
+    And of two hundred nodes a few try to take the duty, and the others only after a delay
+    And a node that takes over the duty waits for the lease to expire before it orders
+    And an unanswered order is repeated to the same engine with a higher fencing token
+    And several surplus prefill endpoints are ordered in turn, without waiting for each change
+
+  Scenario: a service without a prefill endpoint gets one
+    Given a service whose only prefill endpoint has left
+    Then one of its decode engines is ordered to prefill shortly after, if enough others remain
+    And an order ends when its engine has left
+
+  Scenario: a service without a decode endpoint gets one
+    Given a service whose only decode engine has left, with prefill endpoints remaining
+    Then one of them is ordered to decode shortly after, even if it is the last engine
+    And at a start, prefill endpoints that register first wait for others to register
+    And once the last engine decodes, no further order is given
+
+  Scenario: a holder that was suspended after its confirmation gives no order
+    Given a role keeper whose confirmation of the duty is too old
     Then no order reaches the engine
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -18,7 +18,7 @@
 from saffronworks.tests.revisions import at
 
 
-@given("two of five engines read prompts")
+@given("two prefill endpoints out of five engines")
 def five_engines(context):
     context.engines = endpoints(3, Role.DECODE, "d") + endpoints(2, Role.PREFILL, "p")
 
@@ -32,7 +32,7 @@
     return None, until_ms
 
 
-@then("after two seconds the duty is asked for, and one engine is ordered")
+@then("after two seconds the duty is taken, and one engine is ordered to decode")
 def one_order(context):
     state = roles.RoleState("n", 3000, 300)
     command, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -45,7 +45,7 @@
     assert again is None, "a second order while the first is open"
 
 
-@then("another node that finds the duty taken gives no order")
+@then("a node that finds the duty taken gives no order")
 def finds_taken(context):
     state = roles.RoleState("m", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -54,7 +54,7 @@
     assert command == roles.TakeDuty(None), "the object of a live holder is not taken over"
 
 
-@then("a node that took the duty over waits out the lease before it orders")
+@then("a node that takes over the duty waits for the lease to expire before it orders")
 def waits_out(context):
     state = roles.RoleState("m", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -70,7 +70,7 @@
     )
 
 
-@then("of two hundred nodes few ask for the duty, and the others when nobody takes it")
+@then("of two hundred nodes a few try to take the duty, and the others only after a delay")
 def few_ask(context):
     asked_ms = []
     for place in range(200):
@@ -83,7 +83,7 @@
     assert asked_ms[roles.GROUP_NODES] - asked_ms[0] == roles.GROUP_DELAY_MS
 
 
-@then("an order without an answer is given again to the same engine, with a higher fence")
+@then("an unanswered order is repeated to the same engine with a higher fencing token")
 def given_again(context):
     state = roles.RoleState("n", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -99,7 +99,7 @@
     )
 
 
-@then("several surplus readers are ordered one after the other, without waiting for each")
+@then("several surplus prefill endpoints are ordered in turn, without waiting for each change")
 def several(context):
     engines = endpoints(11, Role.DECODE, "d") + endpoints(7, Role.PREFILL, "p")
     state, now_ms, ordered = roles.RoleState("n", 3000, 300), 0, []
@@ -114,12 +114,12 @@
     assert len(ordered) == len(set(ordered)) == surplus, ordered
 
 
-@given("a service whose only reader has left")
+@given("a service whose only prefill endpoint has left")
 def reader_left(context):
     context.engines = endpoints(4, Role.DECODE, "d")
 
 
-@then("one of its decode engines is ordered to read after a moment, if another remains")
+@then("one of its decode engines is ordered to prefill shortly after, if enough others remain")
 def ordered_to_read(context):
     state = roles.RoleState("n", 3000, 300)
     command, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -130,12 +130,12 @@
     assert alone is None
 
 
-@given("a service whose only decode engine has left, and readers remain")
+@given("a service whose only decode engine has left, with prefill endpoints remaining")
 def decoder_left(context):
     context.services = [endpoints(count, Role.PREFILL, "p") for count in (1, 2, 3)]
 
 
-@then("one of them is ordered to decode after a moment, also when it is the last engine")
+@then("one of them is ordered to decode shortly after, even if it is the last engine")
 def ordered_to_decode(context):
     for engines in context.services:
         state = roles.RoleState("n", 3000, 300)
@@ -151,21 +151,21 @@
         assert order.role is Role.DECODE and order.endpoint in engines, order
 
 
-@then("readers that enter first at a start are given time for the others to enter")
+@then("at a start, prefill endpoints that register first wait for others to register")
 def not_at_start(context):
     for engines in context.services:
         command, at_ms = look_until(roles.RoleState("n", 3000, 300), engines, 0, 10_000)
         assert isinstance(command, roles.TakeDuty) and at_ms >= 4500, (engines, at_ms)
 
 
-@then("once it decodes there is no further order")
+@then("once the last engine decodes, no further order is given")
 def no_further_order(context):
     alone = endpoints(1, Role.DECODE, "p")
     command, _ = look_until(roles.RoleState("n", 3000, 300), alone, 0, 10_000)
     assert command is None, command
 
 
-@then("an order is over when its engine has left")
+@then("an order ends when its engine has left")
 def over_when_left(context):
     state = roles.RoleState("n", 3000, 300)
     _, at_ms = look_until(state, context.engines, 0, 10_000)
@@ -198,7 +198,7 @@
         return Ok(None)
 
 
-@given("a role keeper whose confirmation took longer than allowed")
+@given("a role keeper whose confirmation of the duty is too old")
 def frozen_keeper(context):
     world = context.world = SlowDuty()
     directory = Directory()
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -40,7 +40,7 @@
     context.routing = RoutingTable(1, routes, {})
 
 
-@then("the most exact route is found, and none for another host")
+@then("the route with the longest matching prefix is found, and none for another host")
 def most_exact(context):
     assert context.routing.find("h", "/a/b/c").name == "long"
     assert context.routing.find("h", "/a/x").name == "short"
@@ -48,7 +48,7 @@
     assert context.routing.find("other", "/a/b/c") is None
 
 
-@then("about one request in ten goes to the lesser service, the same one each time")
+@then("about one request in ten goes to the service of smaller weight, always the same ones")
 def one_in_ten(context):
     split = context.routing.find("h", "/c/")
     first = [split.choose_service(f"r{index}") for index in range(2000)]
@@ -81,7 +81,7 @@
 
 
 @then(
-    "whatever endpoints answer, a request that may not repeat is sent on only while it has not run"
+    "whatever endpoints answer, an unrepeatable request is sent again only if it was not executed"
 )
 def at_most_once(context):
     @forall(REPLIES)
@@ -93,7 +93,7 @@
     check()
 
 
-@then("only a request that has not run is refused with a promise")
+@then("only the refusal of a request that was not executed promises so")
 def truthful(context):
     @forall(st.booleans(), REPLIES)
     def check(may_repeat, replies):
@@ -105,7 +105,7 @@
     check()
 
 
-@then("whatever endpoints answer, it runs on two at most, none of them twice")
+@then("whatever endpoints answer, it runs on two endpoints at most, and on none twice")
 def two_at_most(context):
     @forall(REPLIES)
     def check(replies):
@@ -115,7 +115,7 @@
     check()
 
 
-@then("whatever comes, extra sends in any window stay below the node's part")
+@then("for any arrivals, the retries in any window stay below the node's share of the budget")
 def within_budget(context):
     @forall(st.lists(st.tuples(st.integers(0, 900), st.booleans()), max_size=120))
     def check(arrivals):
@@ -138,7 +138,7 @@
 CUTS = st.lists(st.integers(0, 120), max_size=6)
 
 
-@then("for any split of the bytes only whole events go out, with their ids")
+@then("for any split of the bytes only complete events are passed on, with their ids")
 def any_split(context):
     @forall(st.sampled_from(["\n", "\r\n"]), CUTS, st.integers(0, 12))
     def check(newline, cuts, missing):
@@ -160,7 +160,7 @@
     check()
 
 
-@given("three endpoints of which one fails and one is far slower")
+@given("three endpoints, of which one fails and one is much slower")
 def uneven(context):
     context.loads = LoadTable("z")
     context.three = endpoints(3)
@@ -170,7 +170,7 @@
         context.loads.of("e2").record_success(70.0, turn * 100)
 
 
-@then("the sound one is first, and after a while the others are tried again")
+@then("the healthy one ranks first, and after a while the others are tried again")
 def sound_first(context):
     ranked = context.loads.rank(context.three, 1200)
     assert ranked[0].instance == "e2", ranked
@@ -180,7 +180,7 @@
     assert ranked[-1].instance == "e2", ranked
 
 
-@then("an endpoint that cannot be reached is passed over at its first failure")
+@then("an unreachable endpoint ranks last after its first failure")
 def first_failure(context):
     loads, three = LoadTable("z"), endpoints(3)
     loads.of("e1").outstanding = loads.of("e2").outstanding = 9
@@ -202,14 +202,14 @@
     context.directory.replace(context.two, at(5), now_ms=0)
 
 
-@then("an entry missing right after it stays usable for two seconds")
+@then("an entry missing right after the outage stays usable for two seconds")
 def stays_usable(context):
     context.directory.replace(context.two[:1], at(9), now_ms=100, lapse_until_ms=2100)
     assert may_use(context.directory, "e1", 2099)
     assert not may_use(context.directory, "e1", 2100)
 
 
-@then("one that was draining, or that goes at another time, is gone at once")
+@then("a draining entry, or one removed at another time, is dropped at once")
 def gone_at_once(context):
     directory = context.directory
     directory.replace(context.two, at(11), now_ms=5000)
@@ -222,7 +222,7 @@
     assert "e0" not in directory.endpoints
 
 
-@then("one whose address another endpoint has stays gone, whatever the store still says")
+@then("an entry whose address another endpoint has stays removed, even if the store lists it")
 def stays_gone(context):
     directory, lost = Directory(), endpoints(1)[0]
     directory.replace([lost], at(1), now_ms=0)
@@ -232,13 +232,13 @@
     assert not may_use(directory, "e0", 20)
 
 
-@given("a forwarder with version five in force")
+@given("a forwarder that applied version five")
 def five(context):
     context.forwarder = Forwarder(Mock(), 0)
     assert context.forwarder.apply_table(RoutingTable(5, (), {}))
 
 
-@then("version four is not taken, and version six is")
+@then("version four is rejected, and version six is applied")
 def only_newer(context):
     assert not context.forwarder.apply_table(RoutingTable(4, (), {}))
     assert not context.forwarder.apply_table(RoutingTable(5, (), {}))
--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -25,12 +25,12 @@
 )
 
 
-@given("a generation for two full decode endpoints and a free one")
+@given("a generation, two full decode endpoints and a free one")
 def full_decoders(context):
     context.state = generation()
 
 
-@then("it asks them in order, reads once, and opens the stream where the memory is")
+@then("it asks them in order, prefills once, and opens the stream where memory is reserved")
 def asks_in_order(context):
     state = context.state
     command = gen_step(state, Begin())
@@ -45,7 +45,7 @@
     assert state.reads == 1
 
 
-@then("a decode endpoint that the planner named as reader reads by itself, until it starts over")
+@then("a decode endpoint chosen for the prefill reads the prompt itself, until the next restart")
 def reads_by_itself(context):
     state = generation()
     state.plans_left = 2
@@ -57,7 +57,7 @@
     assert isinstance(again, gen.AskPlanner) and state.reader is None
 
 
-@then("a caller who comes first is refused early, one who returned waits longer")
+@then("a caller's first attempt is refused early, and a retry waits longer for memory")
 def patience(context):
     def refused_at_ms(returned):
         state, now_ms = generation(returned=returned), 0
@@ -76,7 +76,7 @@
     assert 2500 < refused_at_ms(True) < 3600
 
 
-@given("a generation whose reader refused and whose next reader broke")
+@given("a generation rejected by one prefill endpoint and broken off by the next")
 def readers_fail(context):
     state = context.state = generation()
     hold = KvHold(POOLS.decoders[0], "k", 2000)
@@ -85,7 +85,7 @@
     assert isinstance(gen_step(state, gen.ReadFailed("p1", broken=True)), gen.OpenStream)
 
 
-@then("the planner hears of the one that broke, and hears it once")
+@then("the one that broke off is reported to the planner, and only once")
 def hears_once(context):
     context.state.plans_left = 1
     command = gen_step(context.state, gen.StreamBroken("d0", sent=False))
@@ -94,7 +94,7 @@
     assert context.state.pop_broken() == ()
 
 
-@then("where a handle was lost, of the reader that had it")
+@then("after a lost KV handle, the prefill endpoint that held it is reported")
 def lost_handle(context):
     state = generation()
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
@@ -104,7 +104,7 @@
     assert state.pop_broken() == ("p1",)
 
 
-@then("whatever endpoints answer, a generation that may not repeat runs once at most")
+@then("whatever endpoints answer, an unrepeatable generation runs at most once")
 def runs_once(context):
     @forall(REPLIES, BREAKS)
     def check(replies, breaks):
@@ -114,7 +114,7 @@
     check()
 
 
-@then("a generation that has run is never refused with a promise")
+@then("the refusal of a generation that was executed never promises that it was not")
 def generation_truthful(context):
     @forall(st.booleans(), REPLIES, BREAKS)
     def check(may_repeat, replies, breaks):
@@ -143,7 +143,7 @@
     context.command = gen_step(context.state, gen.RelayBroken("d0", position_known=True), 500)
 
 
-@then("memory is reserved at another endpoint, and the stream goes on there")
+@then("memory is reserved at another endpoint, and the stream continues there")
 def goes_on(context):
     assert context.command.endpoint.instance == "d1", context.command
     hold = KvHold(context.command.endpoint, "k2", 2500)
@@ -152,7 +152,7 @@
     assert command == gen.OpenStream(POOLS.decoders[1])
 
 
-@then("a stream that may not be resumed is cut")
+@then("a stream that is not resumable is cut")
 def is_cut(context):
     command = gen_step(streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500)
     assert isinstance(command, gen.Cut), command
