--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on streams whose first endpoint broke off."""
+"""Steps of streams whose first endpoint broke off."""
 
 import re
 import time
@@ -23,8 +23,8 @@
 from saffronworks.tests.platform_place import engines, on_platform
 
 
-def play_resumable(context, *faults, events=3, headers=None):
-    """Each run of a resumable generation meets the next of the faults, wherever it goes."""
+def run_resumable(context, *faults, events=3, headers=None):
+    """Send a resumable generation; each of its runs has the next fault, at whichever endpoint."""
     servers = engines()
     for server in servers:
         server.events = events
@@ -38,22 +38,22 @@
     context.runs = sum(len(server.ran) for server in servers)
 
 
-@when("one endpoint breaks a resumable stream off and the next one fails its run")
-def broke_then_failed(context):
-    play_resumable(context, "break-2", "error")
+@when("one endpoint breaks off a resumable stream and the next one fails its run")
+def break_off_then_fail(context):
+    run_resumable(context, "break-2", "error")
 
 
-@then("the caller has the events that were whole, nothing of the failure, and no good end")
-def short_and_cut(context):
+@then("the caller gets the complete events, nothing of the failure, and no proper end")
+def check_cut_before_failure(context):
     assert context.runs == 2, context.runs
     assert b"id: 1\n" in context.raw, context.raw
     assert b"failed" not in context.raw, context.raw
     assert not context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@then("whatever endpoints answer, nothing but events of the stream follows its first one")
-def only_events(context):
-    """All cases, since draws of a property missed the one that broke the promise."""
+@then("whatever endpoints answer, only events of the stream follow its first one")
+def check_only_events_follow(context):
+    """Check all cases, since random draws missed the case that failed."""
     replies, breaks = product(REPLY_KINDS, repeat=3), product([False, True], repeat=2)
     for may_repeat, answers, broken in product([False, True], replies, breaks):
         played = play_generation(may_repeat, answers, broken)
@@ -64,12 +64,12 @@
 
 
 @when("one endpoint breaks off inside the first event and the next one fails its run")
-def broke_at_once(context):
-    play_resumable(context, "break-1", "error")
+def break_off_in_first_event(context):
+    run_resumable(context, "break-1", "error")
 
 
-@then("the caller gets the failure as its endpoint gave it")
-def only_failure(context):
+@then("the caller gets the endpoint's failure unchanged")
+def check_failure_relayed(context):
     assert context.runs == 2, context.runs
     head, _, body = context.raw.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 500") and body == b"failed", context.raw
@@ -79,32 +79,32 @@
     return [int(number) for number in re.findall(rb"\nid: (\d+)\n", raw)]
 
 
-@when("a resumable stream breaks after event {last:d} and the next run is at fault by {fault}")
-def next_run_at_fault(context, last, fault):
-    play_resumable(context, f"break-{last + 1}", fault, events=5)
+@when("a resumable stream breaks off after event {last:d} and the next run has the fault {fault}")
+def break_off_then_fault(context, last, fault):
+    run_resumable(context, f"break-{last + 1}", fault, events=5)
 
 
-@then("the caller has the events up to {last:d}, each once, and no good end")
-def events_up_to(context, last):
+@then("the caller gets the events up to {last:d}, each once, and no proper end")
+def check_events_up_to(context, last):
     assert context.runs == 2, context.runs
     assert event_ids(context.raw) == list(range(1, last + 1)), context.raw
     assert not context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@when("a resumable stream breaks after its last event and the next run has none left")
-def none_left(context):
-    play_resumable(context, "break-4")
+@when("a resumable stream breaks off after its last event and the next run has no events")
+def break_off_after_last_event(context):
+    run_resumable(context, "break-4")
 
 
-@then("the caller gets each event once, with a good end")
+@then("the caller gets each event once, with a proper end")
 def whole(context):
     assert context.runs == 2, context.runs
     assert event_ids(context.raw) == [1, 2, 3], context.raw
     assert context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@then("of all ways to go on, only the next id follows ids that count, and any higher one others")
-def sequences(context):
+@then("only the next id continues consecutive ids, and any higher id continues others")
+def check_sequences(context):
     def following(*sent):
         sequence = EventSequence()
         sequence.note(sent)
@@ -112,42 +112,42 @@
 
     assert following(1, 2, 3) == [4] and following(7, 8) == [9]
     assert following(2, 4) == [5, 6, 7, 8, 9, 10, 11] and following(1, 2, 9) == [10, 11]
-    assert following(9) == [10, 11], "one id alone doesn't tell that they count"
-    assert following() == [], "what went out is not known"
+    assert following(9) == [10, 11], "one id alone does not show that ids are consecutive"
+    assert following() == [], "the id of the last event is unknown"
     sequence = EventSequence()
     sequence.note((1, 2))
-    assert not sequence.continues(()), "a run whose events have no id may be any run"
+    assert not sequence.continues(()), "events without ids may belong to any run"
 
 
-@when("a resumable stream with a length breaks, and the events of the next run are longer")
-def longer_run(context):
-    play_resumable(context, "sized-break", "sized-wide")
+@when("a resumable stream with a length breaks off, and the events of the next run are longer")
+def continue_with_longer_events(context):
+    run_resumable(context, "sized-break", "sized-wide")
 
 
-@when("a caller goes on after event 2, and the first run repeats it")
-def caller_goes_on(context):
-    play_resumable(context, "repeat", events=4, headers={"Last-Event-Id": "2"})
+@when("a caller resumes after event 2, and the first run repeats it")
+def resume_after_event(context):
+    run_resumable(context, "repeat", events=4, headers={"Last-Event-Id": "2"})
 
 
-@then("the caller gets the events after it from the next run")
-def only_new_events(context):
+@then("the caller gets the later events from the next run")
+def check_later_events(context):
     assert event_ids(context.raw) == [3, 4], context.raw
     assert context.runs == 2 and context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@when("a resumable stream has an id of five thousand digits")
-def long_id(context):
-    play_resumable(context, "long-id")
+@when("a resumable stream has an event id of five thousand digits")
+def stream_with_long_id(context):
+    run_resumable(context, "long-id")
 
 
-@then("the caller gets all of it, with a good end")
-def all_of_it(context):
+@then("the caller gets the whole stream, with a proper end")
+def check_whole_stream(context):
     assert context.raw.count(b"\nid: ") == 4, context.raw
     assert context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-class AnewExchange:
-    """An answer that begins with event 1."""
+class RestartedExchange:
+    """An answer that starts at event 1."""
 
     framed = True
 
@@ -155,8 +155,8 @@
         return b"id: 1\ndata: x\n\n"
 
 
-@given("a stream of which events went out, and a run that starts anew at once")
-def starts_anew(context):
+@given("a stream with events already sent, and a run that starts again at event 1")
+def run_that_restarts(context):
     now_ms = [400]
     node = SimpleNamespace(now_ms=lambda: now_ms[0])
     request = CallerRequest("g1", "POST", "/res/", "h", (), b"", 0, 14_000, after_event=9)
@@ -168,31 +168,31 @@
 
     async def play():
         try:
-            await context.relay.await_first(StreamRun(AnewExchange()), 200)
+            await context.relay.await_first(StreamRun(RestartedExchange()), 200)
         except Break:
             now_ms[0] += 1
             return
-        raise AssertionError("a run that starts anew is sent on")
+        raise AssertionError("a run that starts again was relayed")
 
     anyio.run(play)
 
 
-@then("no pace is told of the run that starts anew")
-def no_pace(context):
+@then("no pace is reported for the run that starts again")
+def check_no_pace(context):
     assert context.relay.pace() == StreamPace(), context.relay.pace()
 
 
-@then("twenty-six megabytes of an event that does not end take no second of the node's time")
-def searched_once(context):
-    """0.1 s; 18 s where all that is held back is searched anew with each part."""
+@then("26 MB of an unfinished event take less than a second of processor time")
+def check_searched_once(context):
+    """Takes 0.1 s; 18 s if all buffered bytes are searched again with each part."""
     cutter, began_s = EventCutter(), time.process_time()
     for _ in range(400):
         assert cutter.feed(b"x" * 65_536) is None
         assert time.process_time() - began_s < 1.0
 
 
-@when("a stream of a service without engines stops inside an event")
-def plain_stops(context):
+@when("a stream of a service without engines breaks off inside an event")
+def break_off_plain_stream(context):
     servers = engines()
 
     async def play(place):
@@ -203,15 +203,15 @@
     on_platform(servers, play)
 
 
-@then("the caller has its whole events, and no good end")
-def whole_no_end(context):
+@then("the caller gets the complete events, and no proper end")
+def check_complete_events_and_cut(context):
     assert event_ids(context.raw) == [1], context.raw
     assert b"id: 2" not in context.raw, context.raw
     assert not context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@then("a resumable stream that breaks with no event's id known is cut for that")
-def unknown_cut(context):
+@then("a resumable stream that breaks off without a known event id is cut for that reason")
+def check_cut_without_event_id(context):
     state = generation(may_repeat=True)
     state.hold, state.streams = KvHold(POOLS.decoders[0], "k", 2000), 1
     command = gen_step(state, StreamAnswered("d0", head_of("ok")), 400)
@@ -220,8 +220,8 @@
     assert command == Cut("no-event-id"), command
 
 
-@when("an endpoint breaks the body of its failure off")
-def failure_breaks(context):
+@when("an endpoint breaks off the body of its failure")
+def break_off_failure(context):
     servers = engines()
 
     async def play(place):
@@ -231,7 +231,7 @@
     on_platform(servers, play)
 
 
-@then("the caller has the start of the failure, and no good end")
-def failure_cut(context):
+@then("the caller gets the start of the failure, and no proper end")
+def check_failure_cut(context):
     assert context.raw.startswith(b"HTTP/1.1 500") and b"failed" in context.raw, context.raw
     assert not context.raw.endswith(b"0\r\n\r\n"), context.raw
