--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -21,7 +21,7 @@
     POOLS,
     gen_step,
     generation,
-    play_generation,
+    simulate_generation,
 )
 
 
@@ -108,8 +108,8 @@
 def runs_once(context):
     @forall(REPLIES, BREAKS)
     def check(replies, breaks):
-        assert play_generation(False, replies, breaks).runs <= 1
-        assert play_generation(True, replies, breaks).runs <= 2
+        assert simulate_generation(False, replies, breaks).runs <= 1
+        assert simulate_generation(True, replies, breaks).runs <= 2
 
     check()
 
@@ -118,7 +118,7 @@
 def generation_truthful(context):
     @forall(st.booleans(), REPLIES, BREAKS)
     def check(may_repeat, replies, breaks):
-        played = play_generation(may_repeat, replies, breaks)
+        played = simulate_generation(may_repeat, replies, breaks)
         end = played.end
         if isinstance(end, Refuse):
             assert not played.resumed, "an answer that began is cut, not refused"
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -19,7 +19,7 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.tests.endpoint_plays import REPLY_KINDS, head_of
-from saffronworks.tests.generation_plays import POOLS, gen_step, generation, play_generation
+from saffronworks.tests.generation_plays import POOLS, gen_step, generation, simulate_generation
 from saffronworks.tests.platform_place import engines, on_platform
 
 
@@ -56,7 +56,7 @@
     """Check all cases, since random draws missed the case that failed."""
     replies, breaks = product(REPLY_KINDS, repeat=3), product([False, True], repeat=2)
     for may_repeat, answers, broken in product([False, True], replies, breaks):
-        played = play_generation(may_repeat, answers, broken)
+        played = simulate_generation(may_repeat, answers, broken)
         first, *later = played.relayed or [None]
         assert all(head.success for head in later), (answers, broken, played)
         if first is not None:
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -44,7 +44,7 @@
     end: object
 
 
-def play_generation(may_repeat, replies, relay_breaks):
+def simulate_generation(may_repeat, replies, relay_breaks):
     """Holds and reads succeed; streams answer in the given ways."""
     state, now_ms, runs, resumed = generation(may_repeat), 0, 0, 0
     relayed, head = [], None
