--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -56,7 +56,7 @@
     assert 140 <= first.count("t") <= 260, first.count("t")
 
 
-def play_plain(may_repeat, replies):
+def simulate_plain(may_repeat, replies):
     """Let endpoints answer in the given ways; returns who ran it, in order, and the end."""
     state = plain.PlainState("s", may_repeat, 2, 300, 1500)
     ran, refused, now_ms = [], 0, 0
@@ -86,7 +86,7 @@
 def at_most_once(context):
     @forall(REPLIES)
     def check(replies):
-        ran, refused, _ = play_plain(False, replies)
+        ran, refused, _ = simulate_plain(False, replies)
         assert len(ran) <= 1, ran
         assert refused <= MOST_REDIRECTS + 1
 
@@ -97,7 +97,7 @@
 def truthful(context):
     @forall(st.booleans(), REPLIES)
     def check(may_repeat, replies):
-        ran, _, end = play_plain(may_repeat, replies)
+        ran, _, end = simulate_plain(may_repeat, replies)
         if isinstance(end, Refuse):
             assert end.not_run == (not ran), (ran, end)
             assert plain.promises_not_run(end.status) == end.not_run, end
@@ -109,7 +109,7 @@
 def two_at_most(context):
     @forall(REPLIES)
     def check(replies):
-        ran, _, _ = play_plain(True, replies)
+        ran, _, _ = simulate_plain(True, replies)
         assert len(ran) <= 2 and len(set(ran)) == len(ran), ran
 
     check()
