--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -17,7 +17,7 @@
     play_generation,
     play_plain,
 )
-from saffronworks.tests.scripted_wires import REPLIES, play_path
+from saffronworks.tests.scripted_wires import REPLIES, simulate_requests
 
 
 def check_promise(may_repeat, end):
@@ -78,7 +78,7 @@
         st.lists(st.booleans(), max_size=3),
     )
     def check(words, held):
-        for status, may_have_run in play_path(streams, words, held, requests=3):
+        for status, may_have_run in simulate_requests(streams, words, held, requests=3):
             assert may_have_run <= 1, (words, held)
             assert not (may_have_run and promises_not_run(status)), (status, words, held)
 
--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -35,7 +35,7 @@
 )
 from saffronworks.tests.revisions import at
 
-__all__ = ["REPLIES", "play_path"]
+__all__ = ["REPLIES", "simulate_requests"]
 
 TIMEOUT_MS = 60
 PROMPT = PromptSize(3000, 700, 600)
@@ -196,7 +196,7 @@
     )
 
 
-def play_path(streams, words, held, requests):
+def simulate_requests(streams, words, held, requests):
     """The status and the number of possible runs of each of so many unrepeatable requests."""
     script = Script(list(words), list(held))
 
