--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class Played:
+class SimulatedRun:
     """`resumed`: how often a begun answer broke; `relayed`: heads of what was passed on."""
 
     runs: int
@@ -78,7 +78,7 @@
                 now_ms += pause_ms
                 event = gen.Waited()
             case _:
-                return Played(runs, resumed, relayed, command)
+                return SimulatedRun(runs, resumed, relayed, command)
         command = gen_step(state, event, now_ms)
     raise AssertionError(f"no end: {command}")
 
