--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -17,8 +17,8 @@
 )
 from saffronworks.tests.endpoint_plays import REPLIES, head_of
 from saffronworks.tests.generation_plays import (
-    BREAKS,
     POOLS,
+    RELAY_BREAKS,
     gen_step,
     generation,
     simulate_generation,
@@ -106,7 +106,7 @@
 
 @then("whatever endpoints answer, an unrepeatable generation runs at most once")
 def runs_once(context):
-    @forall(REPLIES, BREAKS)
+    @forall(REPLIES, RELAY_BREAKS)
     def check(replies, breaks):
         assert simulate_generation(False, replies, breaks).runs <= 1
         assert simulate_generation(True, replies, breaks).runs <= 2
@@ -116,7 +116,7 @@
 
 @then("the refusal of a generation that was executed never promises that it was not")
 def generation_truthful(context):
-    @forall(st.booleans(), REPLIES, BREAKS)
+    @forall(st.booleans(), REPLIES, RELAY_BREAKS)
     def check(may_repeat, replies, breaks):
         played = simulate_generation(may_repeat, replies, breaks)
         end = played.end
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -83,4 +83,4 @@
     raise AssertionError(f"no end: {command}")
 
 
-BREAKS = st.lists(st.booleans(), max_size=3)
+RELAY_BREAKS = st.lists(st.booleans(), max_size=3)
