--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -19,9 +19,9 @@
 from saffronworks.tests.generation_plays import (
     POOLS,
     RELAY_BREAKS,
-    gen_step,
     generation,
     simulate_generation,
+    step_generation,
 )
 
 
@@ -33,14 +33,14 @@
 @then("it asks them in order, prefills once, and opens the stream where memory is reserved")
 def asks_in_order(context):
     state = context.state
-    command = gen_step(state, Begin())
+    command = step_generation(state, Begin())
     for full in ("d0", "d1"):
         assert command.endpoint.instance == full, command
-        command = gen_step(state, gen.HoldFailed(full, broken=False))
+        command = step_generation(state, gen.HoldFailed(full, broken=False))
     assert command.endpoint.instance == "d2" and command.tokens == 9000
-    command = gen_step(state, gen.HoldTaken(KvHold(command.endpoint, "k", 2000)))
+    command = step_generation(state, gen.HoldTaken(KvHold(command.endpoint, "k", 2000)))
     assert isinstance(command, gen.ReadPrompt) and command.endpoint.role is Role.PREFILL
-    command = gen_step(state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)))
+    command = step_generation(state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)))
     assert command == gen.OpenStream(POOLS.decoders[2]), command
     assert state.reads == 1
 
@@ -49,11 +49,11 @@
 def reads_by_itself(context):
     state = generation()
     state.plans_left = 2
-    assert isinstance(gen_step(state, Begin()), gen.AskPlanner)
-    hold = gen_step(state, gen.PlanGranted("d0", "d0"))
+    assert isinstance(step_generation(state, Begin()), gen.AskPlanner)
+    hold = step_generation(state, gen.PlanGranted("d0", "d0"))
     taken = gen.HoldTaken(KvHold(hold.endpoint, "k", 2000))
-    assert gen_step(state, taken) == gen.OpenStream(POOLS.decoders[0])
-    again = gen_step(state, gen.StreamBroken("d0", sent=False))
+    assert step_generation(state, taken) == gen.OpenStream(POOLS.decoders[0])
+    again = step_generation(state, gen.StreamBroken("d0", sent=False))
     assert isinstance(again, gen.AskPlanner) and state.reader is None
 
 
@@ -61,14 +61,14 @@
 def patience(context):
     def refused_at_ms(returned):
         state, now_ms = generation(returned=returned), 0
-        command = gen_step(state, Begin(), now_ms)
+        command = step_generation(state, Begin(), now_ms)
         while not isinstance(command, Refuse):
             if isinstance(command, gen.Wait):
                 now_ms += command.pause_ms
-                command = gen_step(state, gen.Waited(), now_ms)
+                command = step_generation(state, gen.Waited(), now_ms)
             else:
                 failed = gen.HoldFailed(command.endpoint.instance, broken=False)
-                command = gen_step(state, failed, now_ms)
+                command = step_generation(state, failed, now_ms)
         assert command.status == 503 and command.not_run
         return now_ms
 
@@ -80,15 +80,15 @@
 def readers_fail(context):
     state = context.state = generation()
     hold = KvHold(POOLS.decoders[0], "k", 2000)
-    assert gen_step(state, gen.HoldTaken(hold)).endpoint.instance == "p0"
-    assert gen_step(state, gen.ReadFailed("p0", broken=False)).endpoint.instance == "p1"
-    assert isinstance(gen_step(state, gen.ReadFailed("p1", broken=True)), gen.OpenStream)
+    assert step_generation(state, gen.HoldTaken(hold)).endpoint.instance == "p0"
+    assert step_generation(state, gen.ReadFailed("p0", broken=False)).endpoint.instance == "p1"
+    assert isinstance(step_generation(state, gen.ReadFailed("p1", broken=True)), gen.OpenStream)
 
 
 @then("the one that broke off is reported to the planner, and only once")
 def hears_once(context):
     context.state.plans_left = 1
-    command = gen_step(context.state, gen.StreamBroken("d0", sent=False))
+    command = step_generation(context.state, gen.StreamBroken("d0", sent=False))
     assert isinstance(command, gen.AskPlanner), command
     assert command.broken == ("d0", "p1") and set(command.avoid) == {"d0", "p0", "p1"}
     assert context.state.pop_broken() == ()
@@ -100,7 +100,7 @@
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
     state.handle = KvHandle(POOLS.prefillers[1], "h", 5000)
     refusal = AnswerHead(503, (), Executed.NO, signed=False, reason="status-503")
-    gen_step(state, gen.StreamAnswered("d0", refusal))
+    step_generation(state, gen.StreamAnswered("d0", refusal))
     assert state.pop_broken() == ("p1",)
 
 
@@ -132,7 +132,7 @@
     state = generation(may_repeat)
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
     state.streams = 1
-    command = gen_step(state, gen.StreamAnswered("d0", head_of("ok")), 400)
+    command = step_generation(state, gen.StreamAnswered("d0", head_of("ok")), 400)
     assert command == gen.StartStream(head_of("ok")), command
     return state
 
@@ -140,19 +140,25 @@
 @given("a resumable stream that broke after some events")
 def broke(context):
     context.state = streaming(may_repeat=True)
-    context.command = gen_step(context.state, gen.RelayBroken("d0", position_known=True), 500)
+    context.command = step_generation(
+        context.state, gen.RelayBroken("d0", position_known=True), 500
+    )
 
 
 @then("memory is reserved at another endpoint, and the stream continues there")
 def goes_on(context):
     assert context.command.endpoint.instance == "d1", context.command
     hold = KvHold(context.command.endpoint, "k2", 2500)
-    command = gen_step(context.state, gen.HoldTaken(hold), 510)
-    command = gen_step(context.state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)), 600)
+    command = step_generation(context.state, gen.HoldTaken(hold), 510)
+    command = step_generation(
+        context.state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)), 600
+    )
     assert command == gen.OpenStream(POOLS.decoders[1])
 
 
 @then("a stream that is not resumable is cut")
 def is_cut(context):
-    command = gen_step(streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500)
+    command = step_generation(
+        streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500
+    )
     assert isinstance(command, gen.Cut), command
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -19,7 +19,12 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.tests.endpoint_plays import REPLY_KINDS, head_of
-from saffronworks.tests.generation_plays import POOLS, gen_step, generation, simulate_generation
+from saffronworks.tests.generation_plays import (
+    POOLS,
+    generation,
+    simulate_generation,
+    step_generation,
+)
 from saffronworks.tests.platform_place import engines, on_platform
 
 
@@ -214,9 +219,9 @@
 def check_cut_without_event_id(context):
     state = generation(may_repeat=True)
     state.hold, state.streams = KvHold(POOLS.decoders[0], "k", 2000), 1
-    command = gen_step(state, StreamAnswered("d0", head_of("ok")), 400)
+    command = step_generation(state, StreamAnswered("d0", head_of("ok")), 400)
     assert command == StartStream(head_of("ok")), command
-    command = gen_step(state, RelayBroken("d0", position_known=False), 700)
+    command = step_generation(state, RelayBroken("d0", position_known=False), 700)
     assert command == Cut("no-event-id"), command
 
 
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -30,7 +30,7 @@
 POOLS = Pools(endpoints(3, Role.DECODE, "d"), endpoints(2, Role.PREFILL, "p"))
 
 
-def gen_step(state, event, now_ms=10, pools=POOLS):
+def step_generation(state, event, now_ms=10, pools=POOLS):
     return generation_core.step(state, event, pools, wide_budget(), now_ms)
 
 
@@ -49,7 +49,7 @@
     state, now_ms, runs, resumed = generation(may_repeat), 0, 0, 0
     relayed, head = [], None
     waiting, breaks = list(replies), list(relay_breaks)
-    command = gen_step(state, Begin(), now_ms)
+    command = step_generation(state, Begin(), now_ms)
     for _ in range(MOST_STEPS):
         now_ms += 10
         if isinstance(command, gen.StartStream | gen.RelayFailure | gen.ContinueStream):
@@ -79,7 +79,7 @@
                 event = gen.Waited()
             case _:
                 return SimulatedRun(runs, resumed, relayed, command)
-        command = gen_step(state, event, now_ms)
+        command = step_generation(state, event, now_ms)
     raise AssertionError(f"no end: {command}")
 
 
