--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.tuning import MOST_BUFFERED_BYTES
 from saffronworks.tests.connection_fakes import connect, receive
-from saffronworks.tests.endpoint_plays import endpoints
+from saffronworks.tests.endpoint_fixtures import endpoints
 
 OWN = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 3\r\n\r\nown"
 CONTROL = b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 4\r\n\r\nhold"
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -12,7 +12,7 @@
 from saffronworks.forwarding.role_keeper import RoleKeeper
 from saffronworks.forwarding.routing import EngineSpec, RoutingTable, Service
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     endpoints,
 )
 from saffronworks.tests.revisions import at
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -44,7 +44,7 @@
     read_advertisement,
 )
 from saffronworks.platform.calls import PlatformCalls
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     DRAIN_MS,
     REPLIES,
     eligibility_of_one_node,
--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -29,7 +29,7 @@
 from saffronworks.forwarding.tuning import BUDGET_USED_SHARE, HOLD_POLL_MS
 from saffronworks.platform.answer_fields import read_limit
 from saffronworks.standins.sites import wait_until
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     MOST_STEPS,
     REPLY_KINDS,
     endpoints,
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -22,7 +22,7 @@
     FORGET_HALF_LIFE_MS,
     MOST_REDIRECTS,
 )
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     MOST_STEPS,
     REPLIES,
     endpoints,
--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -15,7 +15,7 @@
     KvHold,
     Refuse,
 )
-from saffronworks.tests.endpoint_plays import REPLIES, head_of
+from saffronworks.tests.endpoint_fixtures import REPLIES, head_of
 from saffronworks.tests.generation_plays import (
     POOLS,
     RELAY_BREAKS,
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.messages import CallerRequest, Refuse
 from saffronworks.forwarding.organisations import Organisation, read_key
 from saffronworks.platform.configuration import read_configuration
-from saffronworks.tests.endpoint_plays import route
+from saffronworks.tests.endpoint_fixtures import route
 from saffronworks.tests.platform_place import CONFIG
 
 KEY, OTHER_KEY = "banfqasnmgkcuyj8pjbv", "q7vd2m0c4hs8xw1t5znr"
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -22,7 +22,7 @@
 from saffronworks.forwarding.planning.messages import MemoryGrant, MemoryRefusal
 from saffronworks.forwarding.routing import EngineSpec
 from saffronworks.forwarding.runners import Job, NodeState
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     eligibility_of_one_node,
     endpoints,
     limits_of_one_node,
--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.messages import Begin, Refuse
 from saffronworks.forwarding.plain_core import promises_not_run
 from saffronworks.platform.answer_fields import is_refusal
-from saffronworks.tests.endpoint_plays import endpoints, wide_budget
+from saffronworks.tests.endpoint_fixtures import endpoints, wide_budget
 from saffronworks.tests.rejection_plays import (
     GENERATION_TURNS,
     PLAIN_TURNS,
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.ports import StoredObject
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.role_keeper import _read_duty
-from saffronworks.tests.endpoint_plays import endpoints
+from saffronworks.tests.endpoint_fixtures import endpoints
 from saffronworks.tests.quarantine_plays import DEADLY, fleet_that_knows
 from saffronworks.tests.revisions import at
 
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -16,7 +16,7 @@
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.planning.core import PlanState, Tick
 from saffronworks.forwarding.planning.core import step as plan_step
-from saffronworks.tests.endpoint_plays import endpoints
+from saffronworks.tests.endpoint_fixtures import endpoints
 
 SUSPENDED_S = 30
 # A node has periodic work at this pace at least, so that its event loop looks at the time.
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_plays.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding.generation_state import GenerationState, Pools
 from saffronworks.forwarding.messages import Begin, KvHandle, KvHold
-from saffronworks.tests.endpoint_plays import MOST_STEPS, endpoints, head_of, wide_budget
+from saffronworks.tests.endpoint_fixtures import MOST_STEPS, endpoints, head_of, wide_budget
 
 
 def generation(may_repeat=False, returned=False):
--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -28,7 +28,7 @@
     Refuse,
 )
 from saffronworks.forwarding.retry_budget import RetryBudget
-from saffronworks.tests.endpoint_plays import MOST_STEPS, endpoints
+from saffronworks.tests.endpoint_fixtures import MOST_STEPS, endpoints
 
 __all__ = ["GENERATION_TURNS", "PLAIN_TURNS", "End", "play_generation", "play_plain"]
 
--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -26,7 +26,7 @@
 from saffronworks.platform.calls import PlatformCalls
 from saffronworks.platform.ingress import CallerConnectionReply
 from saffronworks.tests.caller_fakes import FakeCaller
-from saffronworks.tests.endpoint_plays import (
+from saffronworks.tests.endpoint_fixtures import (
     eligibility_of_one_node,
     endpoints,
     limits_of_one_node,
