--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -16,7 +16,7 @@
     Refuse,
 )
 from saffronworks.tests.endpoint_fixtures import REPLIES, head_of
-from saffronworks.tests.generation_plays import (
+from saffronworks.tests.generation_simulation import (
     POOLS,
     RELAY_BREAKS,
     generation,
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -19,7 +19,7 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.tests.endpoint_fixtures import REPLY_KINDS, head_of
-from saffronworks.tests.generation_plays import (
+from saffronworks.tests.generation_simulation import (
     POOLS,
     generation,
     simulate_generation,
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -47,7 +47,7 @@
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.tests.concurrent_runs import Habits, play_service
 from saffronworks.tests.endpoint_fixtures import REPLY_KINDS, endpoints, head_of, wide_budget
-from saffronworks.tests.generation_plays import POOLS, generation
+from saffronworks.tests.generation_simulation import POOLS, generation
 from saffronworks.tests.quarantine_plays import DEADLY, endpoint_at, fleet_that_knows
 from saffronworks.wire import Codec
 
