--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the core of a generation: no sockets, no clock."""
+"""Steps on the state machine of generations, without sockets or clock."""
 
 from behave import given, then
 from hypothesis import given as forall
@@ -26,12 +26,12 @@
 
 
 @given("a generation, two full decode endpoints and a free one")
-def full_decoders(context):
+def given_full_decoders(context):
     context.state = generation()
 
 
 @then("it asks them in order, prefills once, and opens the stream where memory is reserved")
-def asks_in_order(context):
+def check_order(context):
     state = context.state
     command = step_generation(state, Begin())
     for full in ("d0", "d1"):
@@ -46,7 +46,7 @@
 
 
 @then("a decode endpoint chosen for the prefill reads the prompt itself, until the next restart")
-def reads_by_itself(context):
+def check_prefill_at_decoder(context):
     state = generation()
     state.plans_left = 2
     assert isinstance(step_generation(state, Begin()), gen.AskPlanner)
@@ -58,7 +58,7 @@
 
 
 @then("a caller's first attempt is refused early, and a retry waits longer for memory")
-def patience(context):
+def check_waiting_time(context):
     def refused_at_ms(returned):
         state, now_ms = generation(returned=returned), 0
         command = step_generation(state, Begin(), now_ms)
@@ -77,7 +77,7 @@
 
 
 @given("a generation rejected by one prefill endpoint and broken off by the next")
-def readers_fail(context):
+def fail_prefills(context):
     state = context.state = generation()
     hold = KvHold(POOLS.decoders[0], "k", 2000)
     assert step_generation(state, gen.HoldTaken(hold)).endpoint.instance == "p0"
@@ -86,7 +86,7 @@
 
 
 @then("the one that broke off is reported to the planner, and only once")
-def hears_once(context):
+def check_reported_once(context):
     context.state.plans_left = 1
     command = step_generation(context.state, gen.StreamBroken("d0", sent=False))
     assert isinstance(command, gen.AskPlanner), command
@@ -95,7 +95,7 @@
 
 
 @then("after a lost KV handle, the prefill endpoint that held it is reported")
-def lost_handle(context):
+def check_lost_handle(context):
     state = generation()
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
     state.handle = KvHandle(POOLS.prefillers[1], "h", 5000)
@@ -105,7 +105,7 @@
 
 
 @then("whatever endpoints answer, an unrepeatable generation runs at most once")
-def runs_once(context):
+def check_runs_once(context):
     @forall(REPLIES, RELAY_BREAKS)
     def check(replies, breaks):
         assert simulate_generation(False, replies, breaks).runs <= 1
@@ -115,14 +115,14 @@
 
 
 @then("the refusal of a generation that was executed never promises that it was not")
-def generation_truthful(context):
+def check_refusals(context):
     @forall(st.booleans(), REPLIES, RELAY_BREAKS)
     def check(may_repeat, replies, breaks):
-        played = simulate_generation(may_repeat, replies, breaks)
-        end = played.end
+        simulated = simulate_generation(may_repeat, replies, breaks)
+        end = simulated.end
         if isinstance(end, Refuse):
-            assert not played.resumed, "an answer that began is cut, not refused"
-            assert end.not_run == (played.runs == 0), played
+            assert not simulated.resumed, "an answer that started is cut, not refused"
+            assert end.not_run == (simulated.runs == 0), simulated
             assert plain.promises_not_run(end.status) == end.not_run, end
 
     check()
@@ -138,7 +138,7 @@
 
 
 @given("a resumable stream that broke after some events")
-def broke(context):
+def break_off_stream(context):
     context.state = streaming(may_repeat=True)
     context.command = step_generation(
         context.state, gen.RelayBroken("d0", position_known=True), 500
@@ -146,7 +146,7 @@
 
 
 @then("memory is reserved at another endpoint, and the stream continues there")
-def goes_on(context):
+def check_stream_continues(context):
     assert context.command.endpoint.instance == "d1", context.command
     hold = KvHold(context.command.endpoint, "k2", 2500)
     command = step_generation(context.state, gen.HoldTaken(hold), 510)
@@ -157,7 +157,7 @@
 
 
 @then("a stream that is not resumable is cut")
-def is_cut(context):
+def check_stream_cut(context):
     command = step_generation(
         streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500
     )
