--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on routes, plain requests, retries, loads and endpoints: no sockets, no clock."""
+"""Steps on routes, plain requests, retries, loads and endpoints, without sockets or clock."""
 
 from unittest.mock import Mock
 
@@ -34,14 +34,14 @@
 
 
 @given("a routing table with nested prefixes and a split of nine to one")
-def nested(context):
+def nested_routes(context):
     split = (Split("s", 90), Split("t", 10))
     routes = (route("short"), route("long", "/a/b/"), route("split", "/c/", split))
     context.routing = RoutingTable(1, routes, {})
 
 
 @then("the route with the longest matching prefix is found, and none for another host")
-def most_exact(context):
+def check_longest_prefix(context):
     assert context.routing.find("h", "/a/b/c").name == "long"
     assert context.routing.find("h", "/a/x").name == "short"
     assert context.routing.find("h", "/ab/") is None
@@ -49,7 +49,7 @@
 
 
 @then("about one request in ten goes to the service of smaller weight, always the same ones")
-def one_in_ten(context):
+def check_split(context):
     split = context.routing.find("h", "/c/")
     first = [split.choose_service(f"r{index}") for index in range(2000)]
     assert first == [split.choose_service(f"r{index}") for index in range(2000)]
@@ -57,7 +57,7 @@
 
 
 def simulate_plain(may_repeat, replies):
-    """Let endpoints answer in the given ways; returns who ran it, in order, and the end."""
+    """Return the endpoints that ran the request, in order, the rejections, and the last command."""
     state = plain.PlainState("s", may_repeat, 2, 300, 1500)
     ran, refused, now_ms = [], 0, 0
     command = plain.step(state, Begin(), endpoints(5), wide_budget(), now_ms)
@@ -83,7 +83,7 @@
 @then(
     "whatever endpoints answer, an unrepeatable request is sent again only if it was not executed"
 )
-def at_most_once(context):
+def check_unrepeatable(context):
     @forall(REPLIES)
     def check(replies):
         ran, refused, _ = simulate_plain(False, replies)
@@ -94,7 +94,7 @@
 
 
 @then("only the refusal of a request that was not executed promises so")
-def truthful(context):
+def check_refusals(context):
     @forall(st.booleans(), REPLIES)
     def check(may_repeat, replies):
         ran, _, end = simulate_plain(may_repeat, replies)
@@ -106,7 +106,7 @@
 
 
 @then("whatever endpoints answer, it runs on two endpoints at most, and on none twice")
-def two_at_most(context):
+def check_repeatable(context):
     @forall(REPLIES)
     def check(replies):
         ran, _, _ = simulate_plain(True, replies)
@@ -116,7 +116,7 @@
 
 
 @then("for any arrivals, the retries in any window stay below the node's share of the budget")
-def within_budget(context):
+def check_retry_budget(context):
     @forall(st.lists(st.tuples(st.integers(0, 900), st.booleans()), max_size=120))
     def check(arrivals):
         budget = RetryBudget(0.2, 8.0, 2000, nodes=2)
@@ -139,7 +139,7 @@
 
 
 @then("for any split of the bytes only complete events are passed on, with their ids")
-def any_split(context):
+def check_event_boundaries(context):
     @forall(st.sampled_from(["\n", "\r\n"]), CUTS, st.integers(0, 12))
     def check(newline, cuts, missing):
         lines = [f"id: {n}\ndata: {'x' * n}\n\n" for n in range(1, 6)]
@@ -161,7 +161,7 @@
 
 
 @given("three endpoints, of which one fails and one is much slower")
-def uneven(context):
+def uneven_endpoints(context):
     context.loads = LoadTable("z")
     context.three = endpoints(3)
     for turn in range(12):
@@ -171,7 +171,7 @@
 
 
 @then("the healthy one ranks first, and after a while the others are tried again")
-def sound_first(context):
+def check_healthy_first(context):
     ranked = context.loads.rank(context.three, 1200)
     assert ranked[0].instance == "e2", ranked
     later_ms = 1200 + 8 * FORGET_HALF_LIFE_MS
@@ -181,65 +181,65 @@
 
 
 @then("an unreachable endpoint ranks last after its first failure")
-def first_failure(context):
+def check_unreachable_last(context):
     loads, three = LoadTable("z"), endpoints(3)
     loads.of("e1").outstanding = loads.of("e2").outstanding = 9
     assert loads.rank(three, 0)[0].instance == "e0"
     loads.of("e0").record_failure(0)
-    assert loads.rank(three, 1)[0].instance == "e0", "one ordinary failure shuts nobody out"
+    assert loads.rank(three, 1)[0].instance == "e0", "one failure excludes no endpoint"
     loads.of("e0").record_failure(2, unreachable=True)
     assert loads.rank(three, 3)[-1].instance == "e0"
 
 
-def may_use(directory, instance, now_ms):
+def is_usable(directory, instance, now_ms):
     return any(endpoint.instance == instance for endpoint in directory.usable("s", now_ms))
 
 
 @given("a directory that was listed before an outage of the store")
-def listed(context):
+def listed_directory(context):
     context.directory = Directory()
     context.two = endpoints(2)
     context.directory.replace(context.two, at(5), now_ms=0)
 
 
 @then("an entry missing right after the outage stays usable for two seconds")
-def stays_usable(context):
+def check_stays_usable(context):
     context.directory.replace(context.two[:1], at(9), now_ms=100, lapse_until_ms=2100)
-    assert may_use(context.directory, "e1", 2099)
-    assert not may_use(context.directory, "e1", 2100)
+    assert is_usable(context.directory, "e1", 2099)
+    assert not is_usable(context.directory, "e1", 2100)
 
 
 @then("a draining entry, or one removed at another time, is dropped at once")
-def gone_at_once(context):
+def check_dropped_at_once(context):
     directory = context.directory
     directory.replace(context.two, at(11), now_ms=5000)
     directory.remove("e1", now_ms=5000)
-    assert not may_use(directory, "e1", 5000)
+    assert not is_usable(directory, "e1", 5000)
     leaving = ServiceEndpoint("e0", "s", "127.0.0.1:0", "z", draining=True)
     directory.put(leaving)
-    assert not may_use(directory, "e0", 5000)
+    assert not is_usable(directory, "e0", 5000)
     directory.remove("e0", now_ms=5000, lapse_until_ms=7000)
     assert "e0" not in directory.endpoints
 
 
 @then("an entry whose address another endpoint has stays removed, even if the store lists it")
-def stays_gone(context):
+def check_stays_removed(context):
     directory, lost = Directory(), endpoints(1)[0]
     directory.replace([lost], at(1), now_ms=0)
     directory.note_replaced("e0")
     directory.put(lost)
     directory.replace([lost], at(2), now_ms=10)
-    assert not may_use(directory, "e0", 20)
+    assert not is_usable(directory, "e0", 20)
 
 
 @given("a forwarder that applied version five")
-def five(context):
+def forwarder_with_version_five(context):
     context.forwarder = Forwarder(Mock(), 0)
     assert context.forwarder.apply_table(RoutingTable(5, (), {}))
 
 
 @then("version four is rejected, and version six is applied")
-def only_newer(context):
+def check_only_newer_applied(context):
     assert not context.forwarder.apply_table(RoutingTable(4, (), {}))
     assert not context.forwarder.apply_table(RoutingTable(5, (), {}))
     assert context.forwarder.apply_table(RoutingTable(6, (), {}))
