--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on role changes and the duty to order them."""
+"""Steps on role changes and the duty, the lock that permits a node to order them."""
 
 import anyio
 from behave import given, then
@@ -23,8 +23,8 @@
     context.engines = endpoints(3, Role.DECODE, "d") + endpoints(2, Role.PREFILL, "p")
 
 
-def look_until(state, engines, from_ms, until_ms):
-    """The first command, and when it came."""
+def observe_until(state, engines, from_ms, until_ms):
+    """Return the first command and its time, or None and the end of the interval."""
     for now_ms in range(from_ms, until_ms, 500):
         command = roles.step(state, roles.EndpointsObserved(engines), now_ms)
         if command is not None:
@@ -33,37 +33,37 @@
 
 
 @then("after two seconds the duty is taken, and one engine is ordered to decode")
-def one_order(context):
+def check_one_order(context):
     state = roles.RoleState("n", 3000, 300)
-    command, at_ms = look_until(state, context.engines, 0, 10_000)
+    command, at_ms = observe_until(state, context.engines, 0, 10_000)
     assert command == roles.TakeDuty(None) and at_ms >= roles.EXCESS_MS
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
     assert order.role is Role.DECODE and order.fence == at(19).fence
     assert order.endpoint.role is Role.PREFILL
     roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), at_ms)
-    again, _ = look_until(state, context.engines, at_ms, at_ms + roles.ORDER_TIMEOUT_MS)
+    again, _ = observe_until(state, context.engines, at_ms, at_ms + roles.ORDER_TIMEOUT_MS)
     assert again is None, "a second order while the first is open"
 
 
 @then("a node that finds the duty taken gives no order")
-def finds_taken(context):
+def check_duty_taken(context):
     state = roles.RoleState("m", 3000, 300)
-    _, at_ms = look_until(state, context.engines, 0, 10_000)
+    _, at_ms = observe_until(state, context.engines, 0, 10_000)
     assert roles.step(state, roles.DutyHeldByOther(at(19)), at_ms) is None
-    command, at_ms = look_until(state, context.engines, at_ms, at_ms + 10_000)
-    assert command == roles.TakeDuty(None), "the object of a live holder is not taken over"
+    command, at_ms = observe_until(state, context.engines, at_ms, at_ms + 10_000)
+    assert command == roles.TakeDuty(None), "the duty of a live holder may not be replaced"
 
 
 @then("a node that takes over the duty waits for the lease to expire before it orders")
-def waits_out(context):
+def check_waits_for_lease(context):
     state = roles.RoleState("m", 3000, 300)
-    _, at_ms = look_until(state, context.engines, 0, 10_000)
+    _, at_ms = observe_until(state, context.engines, 0, 10_000)
     roles.step(state, roles.DutyHeldByOther(at(19)), at_ms)
     free_ms = at_ms + roles.DUTY_EXPIRY_MS
-    command, at_ms = look_until(state, context.engines, free_ms, free_ms + 10_000)
+    command, at_ms = observe_until(state, context.engines, free_ms, free_ms + 10_000)
     assert command == roles.TakeDuty(at(19)), command
     assert roles.step(state, roles.DutyTaken(at(25), took_over=True), at_ms) is None
-    command, later_ms = look_until(state, context.engines, at_ms, at_ms + 10_000)
+    command, later_ms = observe_until(state, context.engines, at_ms, at_ms + 10_000)
     assert command == roles.TakeDuty(None) and later_ms - at_ms >= 3300
     assert (
         roles.step(state, roles.DutyTaken(at(31), took_over=False), later_ms).fence == at(31).fence
@@ -71,25 +71,25 @@
 
 
 @then("of two hundred nodes a few try to take the duty, and the others only after a delay")
-def few_ask(context):
+def check_few_ask(context):
     asked_ms = []
     for place in range(200):
         state, now_ms = roles.RoleState(f"n{place}", 3000, 300), 0
         while roles.step(state, roles.EndpointsObserved(context.engines, place), now_ms) is None:
             now_ms += 500
         asked_ms.append(now_ms)
-    assert asked_ms == sorted(asked_ms), "a later one asks before an earlier one"
+    assert asked_ms == sorted(asked_ms), "a node asked before one of lower position"
     assert asked_ms.count(asked_ms[0]) == roles.GROUP_NODES
     assert asked_ms[roles.GROUP_NODES] - asked_ms[0] == roles.GROUP_DELAY_MS
 
 
 @then("an unanswered order is repeated to the same engine with a higher fencing token")
-def given_again(context):
+def check_order_repeated(context):
     state = roles.RoleState("n", 3000, 300)
-    _, at_ms = look_until(state, context.engines, 0, 10_000)
+    _, at_ms = observe_until(state, context.engines, 0, 10_000)
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
     roles.step(state, roles.OrderAnswered(order.endpoint.instance, None), at_ms)
-    command, again_ms = look_until(state, context.engines, at_ms, at_ms + 10_000)
+    command, again_ms = observe_until(state, context.engines, at_ms, at_ms + 10_000)
     assert isinstance(command, roles.TakeDuty) and again_ms - at_ms >= roles.ORDER_RETRY_MS
     again = roles.step(state, roles.DutyTaken(at(23), took_over=False), again_ms)
     assert (
@@ -100,11 +100,11 @@
 
 
 @then("several surplus prefill endpoints are ordered in turn, without waiting for each change")
-def several(context):
+def check_surplus_ordered(context):
     engines = endpoints(11, Role.DECODE, "d") + endpoints(7, Role.PREFILL, "p")
     state, now_ms, ordered = roles.RoleState("n", 3000, 300), 0, []
     while now_ms < 6000:
-        command, now_ms = look_until(state, engines, now_ms, now_ms + 500)
+        command, now_ms = observe_until(state, engines, now_ms, now_ms + 500)
         if command is not None:
             order = roles.step(state, roles.DutyTaken(at(now_ms + 1), took_over=False), now_ms)
             roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), now_ms)
@@ -115,28 +115,28 @@
 
 
 @given("a service whose only prefill endpoint has left")
-def reader_left(context):
+def without_prefill_endpoint(context):
     context.engines = endpoints(4, Role.DECODE, "d")
 
 
 @then("one of its decode engines is ordered to prefill shortly after, if enough others remain")
-def ordered_to_read(context):
+def check_ordered_to_prefill(context):
     state = roles.RoleState("n", 3000, 300)
-    command, at_ms = look_until(state, context.engines, 0, 10_000)
+    command, at_ms = observe_until(state, context.engines, 0, 10_000)
     assert isinstance(command, roles.TakeDuty) and at_ms < 3000, at_ms
     order = roles.step(state, roles.DutyTaken(at(5), took_over=False), at_ms)
     assert order.role is Role.PREFILL
-    alone, _ = look_until(roles.RoleState("n", 3000, 300), context.engines[:2], 0, 10_000)
+    alone, _ = observe_until(roles.RoleState("n", 3000, 300), context.engines[:2], 0, 10_000)
     assert alone is None
 
 
 @given("a service whose only decode engine has left, with prefill endpoints remaining")
-def decoder_left(context):
+def without_decode_endpoint(context):
     context.services = [endpoints(count, Role.PREFILL, "p") for count in (1, 2, 3)]
 
 
 @then("one of them is ordered to decode shortly after, even if it is the last engine")
-def ordered_to_decode(context):
+def check_ordered_to_decode(context):
     for engines in context.services:
         state = roles.RoleState("n", 3000, 300)
         assert (
@@ -145,39 +145,39 @@
             )
             is None
         )
-        command, at_ms = look_until(state, engines, 500, 10_000)
+        command, at_ms = observe_until(state, engines, 500, 10_000)
         assert isinstance(command, roles.TakeDuty) and at_ms < 3000, (engines, at_ms)
         order = roles.step(state, roles.DutyTaken(at(5), took_over=False), at_ms)
         assert order.role is Role.DECODE and order.endpoint in engines, order
 
 
 @then("at a start, prefill endpoints that register first wait for others to register")
-def not_at_start(context):
+def check_waits_at_start(context):
     for engines in context.services:
-        command, at_ms = look_until(roles.RoleState("n", 3000, 300), engines, 0, 10_000)
+        command, at_ms = observe_until(roles.RoleState("n", 3000, 300), engines, 0, 10_000)
         assert isinstance(command, roles.TakeDuty) and at_ms >= 4500, (engines, at_ms)
 
 
 @then("once the last engine decodes, no further order is given")
-def no_further_order(context):
+def check_no_further_order(context):
     alone = endpoints(1, Role.DECODE, "p")
-    command, _ = look_until(roles.RoleState("n", 3000, 300), alone, 0, 10_000)
+    command, _ = observe_until(roles.RoleState("n", 3000, 300), alone, 0, 10_000)
     assert command is None, command
 
 
 @then("an order ends when its engine has left")
-def over_when_left(context):
+def check_order_ends(context):
     state = roles.RoleState("n", 3000, 300)
-    _, at_ms = look_until(state, context.engines, 0, 10_000)
+    _, at_ms = observe_until(state, context.engines, 0, 10_000)
     order = roles.step(state, roles.DutyTaken(at(5), took_over=False), at_ms)
     roles.step(state, roles.OrderAnswered(order.endpoint.instance, True), at_ms)
     rest = [e for e in context.engines if e != order.endpoint]
-    command, _ = look_until(state, rest, at_ms, at_ms + 5000)
+    command, _ = observe_until(state, rest, at_ms, at_ms + 5000)
     assert isinstance(command, roles.TakeDuty)
 
 
-class SlowDuty:
-    """A store whose confirmation is late, and a clock that jumps after it, as in a freeze."""
+class SlowStore:
+    """A store that confirms the duty late, as the clock jumps while the process is suspended."""
 
     def __init__(self):
         self.now_ms = 0
@@ -189,8 +189,8 @@
         return Ok(StoredObject(name, at(19), content))
 
     def clock(self):
-        frozen_ms = roles.CONFIRMATION_VALID_MS + 1 if self.asked else 0
-        self.now_ms += frozen_ms
+        suspended_ms = roles.CONFIRMATION_VALID_MS + 1 if self.asked else 0
+        self.now_ms += suspended_ms
         return self.now_ms
 
     async def order_role(self, endpoint, role, holder, fence):
@@ -199,8 +199,8 @@
 
 
 @given("a role keeper whose confirmation of the duty is too old")
-def frozen_keeper(context):
-    world = context.world = SlowDuty()
+def suspended_keeper(context):
+    world = context.world = SlowStore()
     directory = Directory()
     engines = endpoints(3, Role.DECODE, "d") + endpoints(2, Role.PREFILL, "p")
     directory.replace(engines, at(1), now_ms=0)
@@ -220,6 +220,6 @@
 
 
 @then("no order reaches the engine")
-def no_order(context):
+def check_no_order(context):
     assert context.world.asked >= 1
     assert context.world.orders == []
