--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -61,11 +61,11 @@
     """Check all cases, since random draws missed the case that failed."""
     replies, breaks = product(REPLY_KINDS, repeat=3), product([False, True], repeat=2)
     for may_repeat, answers, broken in product([False, True], replies, breaks):
-        played = simulate_generation(may_repeat, answers, broken)
-        first, *later = played.relayed or [None]
-        assert all(head.success for head in later), (answers, broken, played)
+        simulated = simulate_generation(may_repeat, answers, broken)
+        first, *later = simulated.relayed or [None]
+        assert all(head.success for head in later), (answers, broken, simulated)
         if first is not None:
-            assert not isinstance(played.end, Refuse), (answers, broken, played)
+            assert not isinstance(simulated.end, Refuse), (answers, broken, simulated)
 
 
 @when("one endpoint breaks off inside the first event and the next one fails its run")
