--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -1,7 +1,7 @@
-"""Requests on the whole path from the forwarder to the bytes of endpoints, without sockets.
+"""Simulated requests from the forwarder down to the bytes that endpoints send, without sockets.
 
-`play_path` serves requests one after another; endpoints answer each call by the next word of a
-script. It tells for each request its status and how many endpoints may have run it.
+`simulate_requests` serves requests one after another; endpoints answer each call with the next
+reply of a script. It returns for each request its status and how many endpoints may have run it.
 """
 
 import asyncio
@@ -42,8 +42,8 @@
 ENGINE = EngineSpec(64, 41_000, 9, 2000)
 SIGNED = "Server-Stamp: s\r\n"
 NOT_EXECUTED = "Not-Executed: 1\r\n"
-# Status and fields of each reply: with the request's id, and without it.
-OWN = {
+# Status and header fields of the replies that carry the request's id, and of those that do not.
+WITH_ID = {
     "ok": (200, SIGNED),
     "unsigned": (200, ""),
     "500": (500, SIGNED),
@@ -52,46 +52,46 @@
     "executed": (503, SIGNED + "Not-Executed: 0\r\n"),
     "shed": (503, NOT_EXECUTED),
 }
-BARE = {
+WITHOUT_ID = {
     "408": (408, "Connection: close\r\n"),
     "503": (503, ""),
     "421": (421, "Instance-Id: other\r\n"),
     "bare-shed": (503, NOT_EXECUTED),
-    # The copy comes when the connection is next used, ahead of the answer of that call.
+    # Sent a second time when the connection is next used, before the answer to that call.
     "shed-twice": (503, NOT_EXECUTED),
     # The connection is closed by the endpoint while it is idle.
     "shed-closed": (503, NOT_EXECUTED),
 }
 BROKEN = ("reset", "closed", "half", "garbage", "silence")
-STATED = {"shed", "421", "bare-shed", "shed-twice", "shed-closed"}
-REPLIES = (*OWN, *BARE, *BROKEN)
+NOT_RUN = {"shed", "421", "bare-shed", "shed-twice", "shed-closed"}
+REPLIES = (*WITH_ID, *WITHOUT_ID, *BROKEN)
 
 
-def encode(word, request_id):
-    status, fields = (OWN | BARE)[word]
-    if word in OWN:
+def encode(reply, request_id):
+    status, fields = (WITH_ID | WITHOUT_ID)[reply]
+    if reply in WITH_ID:
         fields += f"{ID_FIELD}: {request_id}\r\n"
     return f"HTTP/1.1 {status} X\r\n{fields}Content-Length: 2\r\n\r\nab".encode()
 
 
 @attrs.define
 class Script:
-    """What endpoints answer, and what they were sent."""
+    """The replies of endpoints, and how often each request may have run."""
 
-    words: list[str]
+    replies: list[str]
     held: list[bool]
     may_have_run: dict[str, int] = attrs.Factory(dict)
 
-    def next_word(self):
-        return self.words.pop(0) if self.words else "ok"
+    def next_reply(self):
+        return self.replies.pop(0) if self.replies else "ok"
 
-    def note(self, request_id, word):
-        ran = word not in STATED
+    def note(self, request_id, reply):
+        ran = reply not in NOT_RUN
         self.may_have_run[request_id] = self.may_have_run.get(request_id, 0) + ran
 
 
-class Wire(asyncio.Transport):
-    """One connection to a scripted endpoint."""
+class ScriptedConnection(asyncio.Transport):
+    """A connection to a scripted endpoint."""
 
     def __init__(self, script):
         super().__init__({"socket": Mock()})
@@ -127,11 +127,11 @@
         if "Stage: prefill" in text:
             self._feed(encode("500", request_id))
             return
-        word = self._script.next_word()
-        self._script.note(request_id, word)
-        # Behind a late copy comes nothing more: the request runs, and its caller waits.
+        reply = self._script.next_reply()
+        self._script.note(request_id, reply)
+        # Nothing follows a late copy: the request runs, and its caller waits.
         if not late:
-            self._perform(word, request_id)
+            self._perform(reply, request_id)
 
     def _answer_control(self):
         if self._script.held and not self._script.held.pop(0):
@@ -140,8 +140,8 @@
             return
         self._feed(b'HTTP/1.1 200 X\r\nContent-Length: 12\r\n\r\n{"hold":"h"}')
 
-    def _perform(self, word, request_id):
-        match word:
+    def _perform(self, reply, request_id):
+        match reply:
             case "reset":
                 self.connection.connection_lost(ConnectionResetError())
             case "closed":
@@ -154,10 +154,10 @@
             case "garbage":
                 self._feed(b"garbage\r\n\r\n")
             case _:
-                self._feed(encode(word, request_id))
-        if word == "shed-twice":
-            self._late = encode(word, request_id)
-        if word == "shed-closed":
+                self._feed(encode(reply, request_id))
+        if reply == "shed-twice":
+            self._late = encode(reply, request_id)
+        if reply == "shed-closed":
             asyncio.get_running_loop().call_later(0.001, self.connection.eof_received)
 
     def _feed(self, data):
@@ -175,7 +175,7 @@
     calls = PlatformCalls(eligibility)
 
     async def connect(endpoint):
-        return Wire(script).connection
+        return ScriptedConnection(script).connection
 
     calls.pool._connect = connect
     return NodeState(
@@ -196,9 +196,9 @@
     )
 
 
-def simulate_requests(streams, words, held, requests):
-    """The status and the number of possible runs of each of so many unrepeatable requests."""
-    script = Script(list(words), list(held))
+def simulate_requests(streams, replies, held, requests):
+    """Return status and number of possible runs of each of `requests` unrepeatable requests."""
+    script = Script(list(replies), list(held))
 
     async def ask(forwarder, request_id):
         caller = FakeCaller("POST")
@@ -218,7 +218,7 @@
         results = []
         for number in range(requests):
             results.append(await ask(forwarder, f"r{number}"))
-            # Connections that their endpoints close between requests.
+            # Time for endpoints to close connections between requests.
             await anyio.sleep(0.002)
         return results
 
