--- a/saffronworks/tests/generation_simulation.py
+++ b/saffronworks/tests/generation_simulation.py
@@ -1,4 +1,4 @@
-"""Plays on the core of a generation: endpoints that answer in given ways, no sockets, no clock."""
+"""Simulated runs of the state machine of generations, without sockets or clock."""
 
 import attrs
 from hypothesis import strategies as st
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class SimulatedRun:
-    """`resumed`: how often a begun answer broke; `relayed`: heads of what was passed on."""
+    """`resumed`: how often a started answer broke off; `relayed`: heads of the relayed answers."""
 
     runs: int
     resumed: int
@@ -45,7 +45,7 @@
 
 
 def simulate_generation(may_repeat, replies, relay_breaks):
-    """Holds and reads succeed; streams answer in the given ways."""
+    """Run a generation: holds and prefills succeed, streams answer as given in `replies`."""
     state, now_ms, runs, resumed = generation(may_repeat), 0, 0, 0
     relayed, head = [], None
     waiting, breaks = list(replies), list(relay_breaks)
