--- a/saffronworks/tests/endpoint_fixtures.py
+++ b/saffronworks/tests/endpoint_fixtures.py
@@ -1,4 +1,4 @@
-"""What scenarios on the deciding cores share: routes, endpoints, and ways in which they answer."""
+"""Fixtures of scenarios on the state machines: routes, endpoints and their answers."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 def limits_of_one_node(now_ms=lambda: 10):
-    """What one node alone knows of the limits that endpoints name."""
+    """Return the rate limits of endpoints as seen by the only node of a fleet."""
     return EndpointLimits("n:1", 1, random.Random(1), now_ms)
 
 
@@ -49,7 +49,7 @@
 
 
 def eligibility_of_one_node(directory, limits=None, now_ms=lambda: 10):
-    """A node to which endpoints have told nothing about themselves yet."""
+    """Return the eligibility of endpoints at a node to which they have advertised nothing yet."""
     return EndpointEligibility(directory, limits or limits_of_one_node(), DRAIN_MS, now_ms)
 
 
