--- a/saffronworks/tests/revisions.py
+++ b/saffronworks/tests/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions of a store as scenarios write them."""
+"""Shorthand for store revisions in scenarios."""
 
 from saffronworks.forwarding.store_revisions import StoreRevision
 
@@ -6,5 +6,5 @@
 
 
 def at(number, epoch=1):
-    """A revision of the store, in its first epoch unless named."""
+    """Return a revision of the store, by default in its first epoch."""
     return StoreRevision(epoch, number)
