--- a/saffronworks/tests/features/memory.feature
+++ b/saffronworks/tests/features/memory.feature
@@ -74,10 +74,10 @@
 
   Scenario: all nodes choose the same planner, a strong one
     Given a census of strong and weak nodes
-    Then every node chooses the same strong one, and two of them hear the reports
-    And when it is silent the other one that heard is chosen, and both go on hearing
-    And one that stays silent is asked ever less often, until it answers
-    And a weak one is chosen when no strong one is left
+    Then every node chooses the same strong node, and two nodes receive the reports
+    And if the chosen node does not answer, the other receiver is chosen, and both get reports
+    And a node that does not answer is asked less and less often, until it answers
+    And a weak node is chosen when no strong one is left
 
   Scenario: a planner that does not answer holds nobody up
     When a node asks a planner that is gone
@@ -94,9 +94,9 @@
     Then it is granted what fits, waits for the rest, and gets it after a release
 
   Scenario: the planner counts on a granted place until it is given up
-    When a node is granted a place, has the prompt read there, and then finds no way to the endpoint
-    Then the planner hears of the reading, and of the end only when the place is given up
-    And a place without room is asked for again without telling an end
+    When the planner grants memory, the prompt is prefilled, and the decode endpoint is unreachable
+    Then the prefill is reported to the planner, and the end only when the memory is released
+    And after a rejected hold the planner is asked again without reporting an end
 
   Scenario: a node that starts again takes part in planning at once
     When a node enters itself in a store where others have entered before
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what a generation tells the planner about its place, without sockets."""
+"""Steps on what a generation reports to the planner, without sockets."""
 
 from unittest.mock import AsyncMock, Mock
 
@@ -34,24 +34,24 @@
 PROMPT = PromptSize(3000, 700, 600)
 
 
-def node_state(told, grants, holds):
-    """A node whose planner and engines give these answers; `told` notes what the planner hears."""
+def node_state(reports, grants, holds):
+    """Return a node whose planner and engines give these answers; `reports` records its calls."""
     (decoder,) = endpoints(1, Role.DECODE, "d")
     (reader,) = endpoints(1, Role.PREFILL, "p")
     directory = Directory()
     directory.replace([decoder, reader], at(1), now_ms=0)
     memory = Mock(own_address="n")
-    memory.ask = AsyncMock(side_effect=lambda ask: (told.append("ask"), grants.pop(0))[1])
-    memory.begin = lambda *_: told.append("begin")
-    memory.end_reading = lambda ended: told.append("read" if ended.whole else "not read")
-    memory.end = lambda _: told.append("end")
+    memory.ask = AsyncMock(side_effect=lambda ask: (reports.append("ask"), grants.pop(0))[1])
+    memory.begin = lambda *_: reports.append("begin")
+    memory.end_reading = lambda ended: reports.append("read" if ended.whole else "not read")
+    memory.end = lambda _: reports.append("end")
     calls = Mock()
     calls.take_hold = AsyncMock(side_effect=holds)
     calls.prefill = AsyncMock(return_value=Ok(KvHandle(reader, "h", 3000)))
     calls.open_stream = AsyncMock(side_effect=Break(BreakCause.CONNECT, sent=False))
     budget, quarantine = wide_budget(), Mock(blocks=lambda *_: False)
     loads, idle = LoadTable("z"), Mock()
-    whose, quotas = Identities(lambda: True), Mock()
+    identities, quotas = Identities(lambda: True), Mock()
     limits = limits_of_one_node()
     return NodeState(
         "z",
@@ -64,38 +64,38 @@
         idle,
         memory,
         quarantine,
-        whose,
+        identities,
         quotas,
         limits,
         eligibility_of_one_node(directory, limits),
     )
 
 
-def told_of(grants, holds):
-    told = []
-    node = node_state(told, grants, holds)
+def reports_of(grants, holds):
+    reports = []
+    node = node_state(reports, grants, holds)
     request = CallerRequest("r1", "POST", "/a/1", "h", (), b"", 0, 14_000, PROMPT)
     job = Job(request, route(timeout_ms=14_000, target_ms=900), "s", Mock(refuse=AsyncMock()), 1)
     anyio.run(run_generation, node, job, PROMPT, EngineSpec(64, 41_000, 9, 2000), 14_000)
-    return told
+    return reports
 
 
 def hold():
     return Ok(KvHold(endpoints(1, Role.DECODE, "d")[0], "k", 2000))
 
 
-@when("a node is granted a place, has the prompt read there, and then finds no way to the endpoint")
-def granted_then_broken(context):
+@when("the planner grants memory, the prompt is prefilled, and the decode endpoint is unreachable")
+def grant_then_fail(context):
     grant, refusal = MemoryGrant("r1", "d0", "p0"), MemoryRefusal("r1", 2000)
-    context.told = told_of([grant, refusal], [hold()])
+    context.reports = reports_of([grant, refusal], [hold()])
 
 
-@then("the planner hears of the reading, and of the end only when the place is given up")
-def end_once(context):
-    assert context.told == ["ask", "begin", "read", "end", "ask", "end"], context.told
+@then("the prefill is reported to the planner, and the end only when the memory is released")
+def check_end_reported_once(context):
+    assert context.reports == ["ask", "begin", "read", "end", "ask", "end"], context.reports
 
 
-@then("a place without room is asked for again without telling an end")
-def asks_again(context):
+@then("after a rejected hold the planner is asked again without reporting an end")
+def check_asks_again(context):
     grants = [MemoryGrant("r1", "d0", "p0"), MemoryRefusal("r1", 2000)]
-    assert told_of(grants, [Err(NotExecuted("full"))]) == ["ask", "ask", "end"]
+    assert reports_of(grants, [Err(NotExecuted("full"))]) == ["ask", "ask", "end"]
--- a/saffronworks/tests/features/steps/planner_choice_steps.py
+++ b/saffronworks/tests/features/steps/planner_choice_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the choice of the node that plans."""
+"""Steps on the choice of the planner node."""
 
 from behave import given, then
 
@@ -18,24 +18,24 @@
     context.second = context.choice.report_receivers("s", 0)[1]
 
 
-@then("every node chooses the same strong one, and two of them hear the reports")
-def same(context):
+@then("every node chooses the same strong node, and two nodes receive the reports")
+def check_same_choice(context):
     other = NodeChoice(dict(reversed(CORES.items())))
     assert context.first.startswith("strong") and other.choose("s", 0) == context.first
     assert other.report_receivers("s", 0) == [context.first, context.second]
     assert context.second.startswith("strong") and context.second != context.first
 
 
-@then("when it is silent the other one that heard is chosen, and both go on hearing")
-def second(context):
+@then("if the chosen node does not answer, the other receiver is chosen, and both get reports")
+def check_second_receiver(context):
     assert context.choice.avoid(context.first, 0) == NODE_AVOID_MS
     assert context.choice.choose("s", 1) == context.second
     assert context.choice.report_receivers("s", 1) == [context.first, context.second]
     assert context.choice.choose("s", NODE_AVOID_MS) == context.first
 
 
-@then("one that stays silent is asked ever less often, until it answers")
-def less_often(context):
+@then("a node that does not answer is asked less and less often, until it answers")
+def check_less_often(context):
     choice, now_ms = context.choice, NODE_AVOID_MS
     spans = []
     for _ in range(5):
@@ -47,8 +47,8 @@
     assert choice.avoid(context.first, now_ms) == NODE_AVOID_MS
 
 
-@then("a weak one is chosen when no strong one is left")
-def weak(context):
+@then("a weak node is chosen when no strong one is left")
+def check_weak_node(context):
     choice = NodeChoice(dict(CORES))
     for name in CORES:
         if name.startswith("strong"):
