--- a/saffronworks/tests/features/platform.feature
+++ b/saffronworks/tests/features/platform.feature
@@ -71,18 +71,18 @@
 
   Scenario: a generation goes from its reservation over the read prompt to the stream
     When a caller asks for a generation
-    Then memory was reserved, the prompt read and the stream passed on
-    And when no memory is free it is refused at once, with a time to return
+    Then memory was reserved, the prompt prefilled and the stream relayed
+    And without free memory the request is refused at once, with a Retry-After
 
   Scenario: a generation is served without an endpoint that reads
-    When a caller asks for a generation and no endpoint reads prompts
-    Then a decode endpoint reads by itself and the stream is passed on
+    When a caller asks for a generation and there is no prefill endpoint
+    Then a decode endpoint prefills by itself and the stream is relayed
 
   Scenario: a resumable stream that breaks inside an event is whole for the caller
-    When the first decode server breaks a resumable stream inside an event
-    Then the caller gets each event once, in order, with a good end
-    And a stream that may not be resumed does not look complete
-    And one without a length that ends inside an event does not look complete
+    When the first decode server breaks off a resumable stream inside an event
+    Then the caller gets each event once, in order, with a proper end
+    And a stream that is not resumable does not look complete
+    And a stream without a length that ends inside an event does not look complete
 
   Scenario: a planned stop lets requests end and takes no new callers
     When a node is told to stop while a request runs
--- a/saffronworks/tests/features/steps/platform_generation_steps.py
+++ b/saffronworks/tests/features/steps/platform_generation_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on a whole node of the platform: generations and their streams."""
+"""Steps on a whole node of the platform: generations and their streams."""
 
 import time
 
@@ -8,11 +8,11 @@
 
 
 @when("a caller asks for a generation")
-def generates(context):
+def ask_for_generation(context):
     context.servers_used = engines()
 
     async def play(place):
-        # Without a planner, whether or not the node has counted itself by now.
+        # Disable the planner, whether or not the census lists this node already.
         place.node._census._take = lambda nodes: None
         place.node._memory.choice.cores = {}
         context.raw = await place.generate("/gen/", "g1")
@@ -25,8 +25,8 @@
     on_platform(context.servers_used, play)
 
 
-@then("memory was reserved, the prompt read and the stream passed on")
-def reserved(context):
+@then("memory was reserved, the prompt prefilled and the stream relayed")
+def check_generation(context):
     decoder = next(server for server in context.servers_used if server.ran)
     asked = [body for _, target, _, body in decoder.seen if target.endswith("hold-take")]
     assert b'"tokens":8100' in asked[0] and b'"tokens":8000' in asked[1], asked
@@ -38,14 +38,14 @@
     assert context.raw.count(b"data: ") == 3 and context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@then("when no memory is free it is refused at once, with a time to return")
-def refused_early(context):
+@then("without free memory the request is refused at once, with a Retry-After")
+def check_refused_early(context):
     assert context.refused.startswith(b"HTTP/1.1 503"), context.refused
     assert b"retry-after" in context.refused.lower() and context.refused_s < 0.3
 
 
-@when("a caller asks for a generation and no endpoint reads prompts")
-def no_reader(context):
+@when("a caller asks for a generation and there is no prefill endpoint")
+def ask_without_prefill_endpoint(context):
     context.servers_used = engines()[:2]
 
     async def play(place):
@@ -54,16 +54,16 @@
     on_platform(context.servers_used, play)
 
 
-@then("a decode endpoint reads by itself and the stream is passed on")
-def reads_itself(context):
+@then("a decode endpoint prefills by itself and the stream is relayed")
+def check_prefill_at_decoder(context):
     seen = [headers for server in context.servers_used for _, _, headers, _ in server.seen]
     stream = next(headers for headers in seen if "kv-hold" in headers)
     assert "kv-source" not in stream, stream
     assert context.raw.count(b"data: ") == 3 and context.raw.endswith(b"0\r\n\r\n"), context.raw
 
 
-@when("the first decode server breaks a resumable stream inside an event")
-def breaks_inside(context):
+@when("the first decode server breaks off a resumable stream inside an event")
+def break_off_inside_event(context):
     servers = engines()
 
     async def play(place):
@@ -78,8 +78,8 @@
     on_platform(servers, play)
 
 
-@then("the caller gets each event once, in order, with a good end")
-def each_once(context):
+@then("the caller gets each event once, in order, with a proper end")
+def check_each_event_once(context):
     assert sum(context.runs) == 2, context.runs
     ids = [context.whole.find(b"\nid: %d" % number) for number in (1, 2, 3)]
     assert -1 not in ids and ids == sorted(ids), context.whole
@@ -87,12 +87,12 @@
     assert context.whole.endswith(b"0\r\n\r\n")
 
 
-@then("a stream that may not be resumed does not look complete")
-def not_complete(context):
+@then("a stream that is not resumable does not look complete")
+def check_not_complete(context):
     assert b"id: 1" in context.broken and not context.broken.endswith(b"0\r\n\r\n")
 
 
-@then("one without a length that ends inside an event does not look complete")
-def unframed_not_complete(context):
+@then("a stream without a length that ends inside an event does not look complete")
+def check_unframed_not_complete(context):
     assert b"id: 1" in context.unframed, context.unframed
     assert not context.unframed.endswith(b"0\r\n\r\n"), context.unframed
