--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -130,8 +130,8 @@
 class Runs:
     """Counts of the prefills and runs that endpoints executed, or may have, for one request.
 
-    A call is counted when it starts, as the caller may disconnect during the call, and uncounted if
-    the endpoint did not execute it.
+    A call is counted when it starts, as the caller may disconnect during the call, and taken off
+    the count if the endpoint did not execute it.
     """
 
     reads: int = 0
@@ -143,7 +143,7 @@
         self.reads += 1
 
     def uncount_read(self) -> None:
-        """Uncount the last prefill, which the endpoint did not execute."""
+        """Take the last prefill off the count, as the endpoint did not execute it."""
         self.reads -= 1
 
     def begin_run(self) -> None:
@@ -152,7 +152,7 @@
         self.sends += 1
 
     def uncount_run(self) -> None:
-        """Uncount the last run, which the endpoint did not execute."""
+        """Take the last run off the count, as the endpoint did not execute it."""
         self.runs -= 1
 
     @property
