--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -166,7 +166,7 @@
         """Release an unused KV handle."""
 
     async def listens(self, endpoint: ServiceEndpoint) -> bool | None:
-        """Return True if its address accepts connections, False if not, None without any reply."""
+        """Return True if the endpoint accepts connections, False if not, None without a reply."""
 
     async def order_role(
         self, endpoint: ServiceEndpoint, role: Role, holder: str, fence: int
