--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -216,7 +216,7 @@
 
 
 def _final_answer(head: AnswerHead | None, silent: bool) -> Relay | Refuse:
-    """Return the answer to the caller after a failed run without a retry."""
+    """Return the command that answers the caller after a failed run that is not retried."""
     if head is not None and head.signed and not promises_not_run(head.status):
         return Relay()
     if silent:
