--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class StreamAnswered:
-    """A decode endpoint answered; a success was received up to the first part of its body."""
+    """A decode endpoint answered; of a success the first part of the body was received too."""
 
     instance: StartId
     head: AnswerHead
