--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -1,4 +1,4 @@
-"""Carries one generation: executes the commands of `generation_core`."""
+"""Serves one generation: executes the commands of `generation_core`."""
 
 import logging
 
