--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -33,10 +33,10 @@
 ]
 
 # Target share of prefill endpoints. A prompt of 5,000 tokens takes 90 ms to prefill, and its answer
-# takes a ninth of a decode endpoint's memory for 2.7 s, which balances at a fifth to a quarter. The
-# share is lower, as decode endpoints can prefill as well.
+# takes a ninth of a decode endpoint's memory for 2.7 s: demand balances if a fifth to a quarter of
+# the engines prefill. The share is lower, as decode endpoints can prefill as well.
 PREFILL_SHARE = 0.18
-# A surplus of prefill endpoints must last this long before a role changes.
+# A surplus of prefill endpoints must last this long, so that a transient one changes no role.
 EXCESS_MS = 2000
 # Endpoints register within 4.5 s of the start; until then prefill endpoints may be listed alone.
 STARTUP_GRACE_MS = 5000
