--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -37,7 +37,7 @@
 # the engines prefill. The share is lower, as decode endpoints can prefill as well.
 PREFILL_SHARE = 0.18
 # A surplus of prefill endpoints must last this long, so that a transient one changes no role.
-EXCESS_MS = 2000
+SURPLUS_MS = 2000
 # Endpoints register within 4.5 s of the start; until then prefill endpoints may be listed alone.
 STARTUP_GRACE_MS = 5000
 # A shortage of prefill endpoints must last this long: a crashed endpoint's entry is removed after
@@ -250,7 +250,7 @@
     """Return how long an imbalance has to last before a role changes."""
     if not state.decoder_seen:
         return STARTUP_GRACE_MS
-    return SHORTAGE_MS if shortage else EXCESS_MS
+    return SHORTAGE_MS if shortage else SURPLUS_MS
 
 
 def _choose(state: RoleState, endpoints: list[ServiceEndpoint]) -> ServiceEndpoint | None:
--- a/saffronworks/tests/features/steps/duty_steps.py
+++ b/saffronworks/tests/features/steps/duty_steps.py
@@ -36,7 +36,7 @@
 def check_one_order(context):
     state = roles.RoleState("n", 3000, 300)
     command, at_ms = observe_until(state, context.engines, 0, 10_000)
-    assert command == roles.TakeDuty(None) and at_ms >= roles.EXCESS_MS
+    assert command == roles.TakeDuty(None) and at_ms >= roles.SURPLUS_MS
     order = roles.step(state, roles.DutyTaken(at(19), took_over=False), at_ms)
     assert order.role is Role.DECODE and order.fence == at(19).fence
     assert order.endpoint.role is Role.PREFILL
@@ -206,7 +206,7 @@
     directory.replace(engines, at(1), now_ms=0)
     spec = EngineSpec(64, 90_000, 64, 2000)
     table = RoutingTable(1, (), {"s": Service("s", 10, spec)})
-    state = roles.RoleState("n", 3000, 300, unbalanced_since_ms=-roles.EXCESS_MS)
+    state = roles.RoleState("n", 3000, 300, unbalanced_since_ms=-roles.SURPLUS_MS)
     node_order = NodeOrder("n", ["n"])
     keeper = RoleKeeper(
         lambda: state, directory, world, world, lambda: table, node_order, StoreEpoch(), world.clock
