--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -165,7 +165,7 @@
             case events.AskPlanner():
                 return await self._ask_planner(command)
             case events.TakeHold():
-                return await self._ask_hold(command)
+                return await self._take_hold(command)
             case events.ReadPrompt(endpoint, timeout_ms):
                 return await self._read_prompt(endpoint, timeout_ms)
             case events.OpenStream(endpoint):
@@ -192,7 +192,7 @@
         returned = self._state.returned or self._state.answer_started
         return await self._reservation.ask_planner(command, returned)
 
-    async def _ask_hold(self, command: events.TakeHold) -> events.Event:
+    async def _take_hold(self, command: events.TakeHold) -> events.Event:
         self._release_if_held()
         try:
             return await self._reservation.reserve(command)
