--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -51,7 +51,7 @@
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
     ):
-        epoch.subscribe(self._forget_duties)
+        epoch.subscribe(self._reset_duties)
         self._new_state = state
         self._states: dict[str, RoleState] = {}
         self._directory = directory
@@ -71,7 +71,7 @@
                 if service.engine is not None:
                     await self._check(service.name)
 
-    def _forget_duties(self) -> None:
+    def _reset_duties(self) -> None:
         for state in self._states.values():
             role_core.step(state, StoreRestored(), self._now_ms())
 
