--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -76,7 +76,8 @@
     """This node's view of the roles and the duty of a service; `orders` is keyed by instance.
 
     `duty_revision` is the last seen revision of the duty's object, and `duty_changed_ms` the time
-    at which it was seen to change.
+    at which it was seen to change. A node that takes over the duty waits `lease_ms` and
+    `thaw_slack_ms`, a margin for a suspended holder, before its first order.
     """
 
     node: str
