--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -326,12 +326,12 @@
     return _start_over(state, pools, now_ms)
 
 
-def _retry_run(state: GenerationState, pools: Pools, now_ms: int, otherwise: _GiveUp) -> _Result:
-    """Start another run after a failed one where that is allowed, else return `otherwise`."""
+def _retry_run(state: GenerationState, pools: Pools, now_ms: int, fallback: _GiveUp) -> _Result:
+    """Start another run after a failed one where that is allowed, else return `fallback`."""
     left_ms = state.deadline_at_ms - now_ms
     if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_LEAST_LEFT_MS:
         return _start_over(state, pools, now_ms)
-    return otherwise
+    return fallback
 
 
 def _start_over(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
