--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -1,4 +1,4 @@
-"""Carries one generation: executes the commands of `generation_core`."""
+"""Serves one generation: executes the commands of `generation_core`."""
 
 import logging
 
@@ -24,17 +24,17 @@
     PromptSize,
     Refuse,
 )
-from saffronworks.forwarding.places import Place
 from saffronworks.forwarding.planning.client import RunSize
 from saffronworks.forwarding.pools import rank_pools
+from saffronworks.forwarding.reservations import Reservation
 from saffronworks.forwarding.routing import EngineSpec, Route
 from saffronworks.forwarding.runners import (
     HOLD,
     Job,
     NodeState,
     relay_rest,
+    send_refusal,
     start_answer,
-    tell_refusal,
 )
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
@@ -57,7 +57,8 @@
 ) -> None:
     """Serve a request of a service with engines.
 
-    `usual_left_ms` is the time that callers of the route give at their first attempt.
+    `usual_left_ms` is the timeout that callers of the route set at their first attempt. A request
+    with less time left is taken for a retry.
     """
     state = GenerationState(
         service=job.service,
@@ -70,16 +71,16 @@
         deadline_at_ms=job.deadline_at_ms,
         hold_most_ms=engine.hold_most_ms,
         headroom_tokens=int(HEADROOM_SHARE * engine.kv_capacity_tokens),
-        gives_up_ms=first_event_limit_ms(job.route),
+        first_event_timeout_ms=client_first_event_timeout_ms(job.route),
         returned=job.request.left_ms < RETURNED_BELOW_SHARE * usual_left_ms,
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
     relay = StreamRelay(node, job, state, engine.tokens_per_event)
-    await _GenerationRun(node, job, state, Place(node, job, size), relay).run()
+    await _GenerationRun(node, job, state, Reservation(node, job, size), relay).run()
 
 
-def first_event_limit_ms(route: Route) -> int:
-    """After how long without a first event callers of a route leave."""
+def client_first_event_timeout_ms(route: Route) -> int:
+    """Return the time after which callers of a route disconnect if no event has arrived."""
     by_target_ms = GIVE_UP_TARGETS * route.target_ms
     return max(GIVE_UP_LEAST_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
 
@@ -90,11 +91,11 @@
         node: NodeState,
         job: Job,
         state: GenerationState,
-        place: Place,
+        reservation: Reservation,
         relay: StreamRelay,
     ):
         self._node = node
-        self._place = place
+        self._reservation = reservation
         self._relay = relay
         self._job = job
         self._state = state
@@ -103,16 +104,16 @@
         self._trial_began = False
 
     async def run(self) -> None:
-        """Execute commands until the caller has its answer."""
+        """Execute commands until the answer is complete, refused or cut."""
         event: events.Event | None = Begin()
         try:
             while event is not None:
                 event = await self._execute(self._decide(event))
         finally:
-            self._give_up_place()
+            self._release()
 
     def _decide(self, event: events.Event) -> events.Command:
-        node, now_ms, begun = self._node, self._node.now_ms(), self._state.begun
+        node, now_ms, answer_started = self._node, self._node.now_ms(), self._state.answer_started
         pools = rank_pools(
             node.eligibility,
             node.loads,
@@ -121,10 +122,10 @@
             self._state.arrived_ms,
             now_ms,
         )
-        barred = node.barred(self._job, self._trial_began)
-        command = generation_core.step(self._state, event, pools, node.budget, now_ms, barred)
-        if not isinstance(command, events.Wait | events.AskHold):
-            self._log_decision(event, command, pools, begun, now_ms)
+        denial = node.denial(self._job, self._trial_began)
+        command = generation_core.step(self._state, event, pools, node.budget, now_ms, denial)
+        if not isinstance(command, events.Wait | events.TakeHold):
+            self._log_decision(event, command, pools, answer_started, now_ms)
         return command
 
     def _log_decision(
@@ -132,7 +133,7 @@
         event: events.Event,
         command: events.Command,
         pools: Pools,
-        begun: bool,
+        answer_started: bool,
         now_ms: int,
     ) -> None:
         endpoint = getattr(command, "endpoint", None)
@@ -152,7 +153,7 @@
             len(pools.prefillers),
             self._state.runs,
             self._state.reads,
-            begun,
+            answer_started,
             event.head.status if isinstance(event, events.StreamAnswered) else None,
             self._node.eligibility.describe(endpoint.instance) if endpoint else None,
             self._node.directory.revision,
@@ -163,8 +164,8 @@
         match command:
             case events.AskPlanner():
                 return await self._ask_planner(command)
-            case events.AskHold():
-                return await self._ask_hold(command)
+            case events.TakeHold():
+                return await self._take_hold(command)
             case events.ReadPrompt(endpoint, timeout_ms):
                 return await self._read_prompt(endpoint, timeout_ms)
             case events.OpenStream(endpoint):
@@ -180,31 +181,33 @@
                 await anyio.sleep(pause_ms / 1000)
                 return events.Waited()
             case Refuse():
-                self._give_up_place()
-                await tell_refusal(self._node, self._job, command)
+                self._release()
+                await send_refusal(self._node, self._job, command)
             case events.Cut(reason):
                 self._cut(reason)
         return None
 
     async def _ask_planner(self, command: events.AskPlanner) -> events.Event:
-        self._leave_place()
-        returned = self._state.returned or self._state.begun
-        return await self._place.ask_planner(command, returned)
+        self._release_if_held()
+        returned = self._state.returned or self._state.answer_started
+        return await self._reservation.ask_planner(command, returned)
 
-    async def _ask_hold(self, command: events.AskHold) -> events.Event:
-        self._leave_place()
+    async def _take_hold(self, command: events.TakeHold) -> events.Event:
+        self._release_if_held()
         try:
-            return await self._place.reserve(command)
+            return await self._reservation.reserve(command)
         except Break as broken:
-            self._note_break(HOLD, command.endpoint, broken)
+            self._record_break(HOLD, command.endpoint, broken)
             return events.HoldFailed(command.endpoint.instance, broken=not broken.withheld)
 
     async def _read_prompt(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
-        event = await self._have_read(endpoint, timeout_ms)
-        self._place.tell_reading_ended(endpoint.instance, isinstance(event, events.PromptRead))
+        event = await self._prefill(endpoint, timeout_ms)
+        self._reservation.report_reading_ended(
+            endpoint.instance, isinstance(event, events.PromptRead)
+        )
         return event
 
-    async def _have_read(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
+    async def _prefill(self, endpoint: ServiceEndpoint, timeout_ms: int) -> events.Event:
         node = self._node
         permit = await node.limits.acquire_permit(endpoint, self._job.request.request_id)
         if isinstance(permit, NoPermit):
@@ -218,17 +221,17 @@
             answer = await node.calls.prefill(endpoint, self._job.request, timeout_ms)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_read()
+                self._job.runs.uncount_read()
                 node.limits.release_permit(permit)
-            self._note_break("prefill", endpoint, broken)
+            self._record_break("prefill", endpoint, broken)
             tried = not broken.withheld
             return events.ReadFailed(endpoint.instance, broken=tried, sent=tried)
         finally:
             load.outstanding -= 1
         if isinstance(answer, Err):
-            self._job.runs.take_back_read()
+            self._job.runs.uncount_read()
             if not answer.err_value.asks_pause:
-                load.fail(node.now_ms())
+                load.record_failure(node.now_ms())
             node.figures.count_send("prefill", "refused")
             logger.info(
                 "event=prefill_refused request=%s endpoint=%s reason=%s",
@@ -237,13 +240,13 @@
                 answer.err_value.reason,
             )
             return events.ReadFailed(endpoint.instance, broken=False)
-        load.succeed(node.now_ms() - began_ms, node.now_ms())
+        load.record_success(node.now_ms() - began_ms, node.now_ms())
         node.figures.count_send("prefill", "read")
         self._unused_handle = answer.ok_value
         return events.PromptRead(answer.ok_value)
 
     def _begin_trial(self) -> None:
-        """Before the first send to an endpoint, so that two owners don't begin at once."""
+        """Record a trial before its first send, so that no two nodes start one at the same time."""
         if self._job.on_trial and not self._trial_began:
             self._trial_began = True
             self._node.quarantine.begin_trial(self._job.request)
@@ -259,25 +262,25 @@
                 endpoint, self._job.request, left_ms, hold, handle, self._relay.last_event
             )
             self._stream = StreamRun(exchange)
-            self._place.use()
+            self._reservation.mark_used()
             self._unused_handle = None
             head = await self._stream.head(max(1, left_ms))
             if head.success and head.signed:
                 await self._relay.await_first(self._stream, head.status)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_run()
-            self._note_break("stream", endpoint, broken)
+                self._job.runs.uncount_run()
+            self._record_break("stream", endpoint, broken)
             if broken.withheld:
                 return events.StreamWithheld(endpoint.instance)
             silent = broken.cause is BreakCause.SILENT
             return events.StreamBroken(endpoint.instance, broken.sent, silent)
         if head.executed is Executed.NO:
-            self._job.runs.take_back_run()
-        self._note_answer(endpoint, head, handle)
+            self._job.runs.uncount_run()
+        self._record_answer(endpoint, head, handle)
         return events.StreamAnswered(endpoint.instance, head)
 
-    def _note_answer(
+    def _record_answer(
         self, endpoint: ServiceEndpoint, head: AnswerHead, handle: KvHandle | None
     ) -> None:
         node = self._node
@@ -307,7 +310,7 @@
         try:
             await self._relay.send_events(self._stream)
         except Break as broken:
-            return self._relay_broke(broken)
+            return self._relay_broken(broken)
         return None
 
     async def _relay_failure(self, head: AnswerHead) -> events.Event | None:
@@ -318,7 +321,7 @@
         try:
             await relay_rest(node, job, self._stream.exchange, body)
         except Break as broken:
-            return self._relay_broke(broken)
+            return self._relay_broken(broken)
         finally:
             body.leave()
         await body.finish()
@@ -334,11 +337,13 @@
         )
         return None
 
-    def _relay_broke(self, broken: Break) -> events.RelayBroken:
+    def _relay_broken(self, broken: Break) -> events.RelayBroken:
         assert self._state.hold is not None
         endpoint = self._state.hold.endpoint
-        self._note_break("stream", endpoint, broken)
-        return events.RelayBroken(endpoint.instance, known=self._relay.last_event is not None)
+        self._record_break("stream", endpoint, broken)
+        return events.RelayBroken(
+            endpoint.instance, position_known=self._relay.last_event is not None
+        )
 
     def _cut(self, reason: str) -> None:
         logger.info(
@@ -351,27 +356,27 @@
         self._node.figures.count("cut", self._job.route.name, reason)
         self._job.reply.cut()
 
-    def _note_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
+    def _record_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
         self._node.note_break(kind, self._job.request, endpoint, broken)
 
-    def _leave_place(self) -> None:
-        """Give up a place that was taken, before another one is sought.
+    def _release_if_held(self) -> None:
+        """Release a reservation that is held, before another one is taken.
 
-        One that the planner only named is kept: the planner counts on it until it is reserved, and
-        a new ask tells that there was no room. An end told in between made it forget each run until
-        the next report, and grant the same memory and the same reader again.
+        A grant without a hold is kept: the planner counts it until the memory is reserved, and a
+        new request to the planner replaces it. If its end were reported in between, the planner
+        would drop the run until the next report and grant the same memory and reader again.
         """
-        if self._place.taken:
-            self._give_up_place()
+        if self._reservation.held:
+            self._release()
 
-    def _give_up_place(self) -> None:
-        """End the exchange, and give back what was reserved and will not be used."""
+    def _release(self) -> None:
+        """End the exchange, and release the reservation and an unused KV handle."""
         if self._stream is not None:
             self._stream.exchange.end()
             self._stream = None
-        if self._place.known:
-            self._place.tell_end(self._relay.pace(), self._state.take_broken())
-        self._place.give_back()
+        if self._reservation.known_to_planner:
+            self._reservation.report_end(self._relay.pace(), self._state.pop_broken())
+        self._reservation.release()
         if self._unused_handle is not None:
             self._node.spawn(self._node.calls.drop_handle, self._unused_handle)
             self._unused_handle = None
--- /dev/null
+++ b/saffronworks/forwarding/node_choice.py
@@ -0,0 +1,99 @@
+"""Choice of the node that plans a service: all nodes choose the same one without messages."""
+
+from typing import Any
+
+import attrs
+
+from saffronworks.forwarding.node_order import strong_nodes
+from saffronworks.forwarding.tuning import (
+    MOST_RANKS_KEPT,
+    NODE_AVOID_MOST_MS,
+    NODE_AVOID_MS,
+    YOUNG_AVOID_MS,
+)
+from saffronworks.hashing import rank_members
+
+__all__ = ["NodeChoice"]
+
+
+# Number of nodes that receive the reports of all nodes.
+REPORT_RECEIVERS = 2
+
+
+@attrs.define
+class _Avoided:
+    until_ms: int
+    span_ms: int
+
+
+def _clear_ranks(choice: "NodeChoice", attribute: Any, cores: dict[str, float]) -> dict[str, float]:
+    """Clear the cached ranks when the set of nodes changes."""
+    choice._ranks.clear()
+    return cores
+
+
+@attrs.define
+class NodeChoice:
+    """Ranks the strong nodes by hash and avoids those that did not answer.
+
+    `cores` has the number of processor cores of each node, by address. The first two nodes receive
+    the reports of all nodes, whichever is chosen: so the second knows all runs when the first stops
+    answering, and the first when it is back. Until `starting_until_ms` this node counts as just
+    started. Others may have started with it, so one that does not answer is avoided only briefly.
+    """
+
+    cores: dict[str, float] = attrs.field(factory=dict, on_setattr=_clear_ranks)
+    starting_until_ms: int = 0
+    _avoided: dict[str, _Avoided] = attrs.Factory(dict)
+    _ranks: dict[tuple[str, frozenset[str]], list[str]] = attrs.Factory(dict)
+
+    def choose(self, service: str, now_ms: int) -> str | None:
+        """Return the node to ask now; None when none is left."""
+        avoided = frozenset(node for node in self._avoided if self.is_avoided(node, now_ms))
+        return next(iter(self._rank(service, avoided)), None)
+
+    def report_receivers(self, service: str, now_ms: int) -> list[str]:
+        """Return the nodes that receive reports of the runs in progress."""
+        ranked = self._rank(service, frozenset())
+        chosen = self.choose(service, now_ms)
+        return ranked if chosen is None or chosen in ranked else [*ranked, chosen]
+
+    def is_avoided(self, node: str, now_ms: int) -> bool:
+        """Return True while a node that did not answer is avoided."""
+        known = self._avoided.get(node)
+        return known is not None and now_ms < known.until_ms
+
+    def starting(self, now_ms: int) -> bool:
+        """Return True while this node counts as just started."""
+        return now_ms < self.starting_until_ms
+
+    def avoid(self, node: str, now_ms: int) -> int:
+        """Avoid a node that did not answer, and return for how long in ms.
+
+        The time doubles with each failure in a row. Requests sent before the node was avoided count
+        as one failure.
+        """
+        if self.starting(now_ms):
+            self._avoided[node] = _Avoided(now_ms + YOUNG_AVOID_MS, NODE_AVOID_MS // 2)
+            return YOUNG_AVOID_MS
+        known = self._avoided.get(node)
+        if known is not None and now_ms < known.until_ms:
+            return known.until_ms - now_ms
+        doubled_ms = 2 * known.span_ms if known else NODE_AVOID_MS
+        span_ms = min(doubled_ms, NODE_AVOID_MOST_MS)
+        self._avoided[node] = _Avoided(now_ms + span_ms, span_ms)
+        return span_ms
+
+    def record_answer(self, node: str) -> None:
+        """Stop avoiding a node that answered."""
+        self._avoided.pop(node, None)
+
+    def _rank(self, service: str, avoided: frozenset[str]) -> list[str]:
+        """Return the first two nodes by hash, cached, as ranking 60 nodes takes 0.1 ms."""
+        key = (service, avoided)
+        if key not in self._ranks:
+            if len(self._ranks) >= MOST_RANKS_KEPT:
+                self._ranks.clear()
+            left = {name: has for name, has in self.cores.items() if name not in avoided}
+            self._ranks[key] = rank_members(strong_nodes(left), service, REPORT_RECEIVERS)
+        return self._ranks[key]
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -1,4 +1,4 @@
-"""Carries one plain request: executes the commands of `plain_core`."""
+"""Serves one plain request: executes the commands of `plain_core`."""
 
 import logging
 
@@ -22,7 +22,7 @@
     Job,
     NodeState,
     relay_rest,
-    tell_refusal,
+    send_refusal,
 )
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import WHOLE_BODY_BYTES
@@ -43,7 +43,7 @@
         self._job = job
         self._exchange: Exchange | None = None
         self._endpoint: ServiceEndpoint | None = None
-        # Of a send that is about to begin.
+        # The permit for the next send.
         self._permit = FREE
         self._head: AnswerHead | None = None
         self._start_of_body = b""
@@ -60,13 +60,13 @@
         )
 
     async def run(self) -> None:
-        """Execute commands until the caller has its answer."""
+        """Execute commands until the answer is complete, refused or cut."""
         command = self._decide(Begin())
         try:
             while isinstance(command, SendTo | AcquirePermit):
                 command = self._decide(await self._execute(command))
             if isinstance(command, Refuse):
-                await tell_refusal(self._node, self._job, command)
+                await send_refusal(self._node, self._job, command)
             else:
                 await self._relay()
         finally:
@@ -89,7 +89,7 @@
         return NotPermitted(endpoint.instance, taken.after_ms)
 
     def _release_permit(self) -> None:
-        """What was sent, even if the endpoint turned it away, has used its permit."""
+        """Release an unused permit; a request that was sent has used its own, even if rejected."""
         self._node.limits.release_permit(self._permit)
         self._permit = FREE
 
@@ -97,9 +97,9 @@
         node, now_ms = self._node, self._node.now_ms()
         usable = node.eligibility.usable(self._job.service, self._job.request.arrived_ms)
         ranked = node.loads.rank(usable, now_ms)
-        barred, eligibility = node.barred(self._job), node.eligibility.among(usable)
+        denial, eligibility = node.denial(self._job), node.eligibility.among(usable)
         command = plain_core.step(
-            self._state, event, ranked, node.budget, now_ms, barred, eligibility
+            self._state, event, ranked, node.budget, now_ms, denial, eligibility
         )
         if isinstance(command, SendTo):
             logger.info(
@@ -136,7 +136,7 @@
             head = await self._exchange_with(endpoint, command.wait_ms)
         except Break as broken:
             if not broken.sent:
-                self._job.runs.take_back_run()
+                self._job.runs.uncount_run()
                 self._release_permit()
             node.note_break(PLAIN, self._job.request, endpoint, broken)
             return Broken(endpoint.instance, broken.sent, broken.cause is BreakCause.SILENT)
@@ -144,14 +144,14 @@
             load.outstanding -= 1
             self._permit = FREE
         if head.executed is Executed.NO:
-            self._job.runs.take_back_run()
+            self._job.runs.uncount_run()
         took_ms = node.now_ms() - began_ms
         if head.success and head.signed:
-            load.succeed(took_ms, node.now_ms())
+            load.record_success(took_ms, node.now_ms())
             node.figures.count_send(PLAIN, "answered")
         else:
             if not head.asks_pause:
-                load.fail(node.now_ms())
+                load.record_failure(node.now_ms())
             node.figures.count_send(PLAIN, f"status-{head.status}")
             node.note_misdirected(endpoint, head)
             logger.info(
@@ -224,7 +224,7 @@
         )
 
     async def _relay_events(self, run: StreamRun, body: AnswerBody) -> None:
-        """Pass whole events on; raises Break where a run ends early, inside an event too."""
+        """Relay complete events; raises Break if the stream ends early or inside an event."""
         job, now_ms = self._job, self._node.now_ms
         while (mark := await run.next_events(max(1, job.deadline_at_ms - now_ms()))) is not None:
             await body.write(mark.data)
--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.planning.messages import (
     LiveRun,
     MemoryAsk,
@@ -81,7 +81,7 @@
     name = "memory-client"
 
     def __init__(self, own_address: str, now_ms: int):
-        self.choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS)
+        self.choice = NodeChoice(starting_until_ms=now_ms + YOUNG_MS)
         self.own_address = own_address
         self._kernel: Kernel | None = None
         self._answers: dict[str, list[_Answer]] = {}
@@ -137,7 +137,7 @@
             if answer is None:
                 self._avoid(planner, ask)
                 return None
-            self.choice.hear(planner)
+            self.choice.record_answer(planner)
             self._answered_ms[planner] = self._now_ms()
             if isinstance(answer, MemoryQueued):
                 answer = await self._await_turn(planner, ask.request_id)
@@ -233,7 +233,7 @@
             services = {run.service for run in self._runs.values()}
             for service in services | reported:
                 report = self._make_report(service, kernel.now_ms())
-                for planner in self.choice.listeners(service, kernel.now_ms()):
+                for planner in self.choice.report_receivers(service, kernel.now_ms()):
                     self._send(planner, report)
             reported = services
 
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/reservations.py
@@ -1,4 +1,4 @@
-"""A generation's place in the memory of a decode endpoint: asked for, reserved, given back."""
+"""Reservation of KV memory at a decode endpoint for one generation."""
 
 import logging
 
@@ -26,20 +26,20 @@
     HEADROOM_MS,
 )
 
-__all__ = ["Place", "StreamPace"]
+__all__ = ["Reservation", "StreamPace"]
 
 logger = logging.getLogger(__name__)
 
-# What a place takes of an endpoint's limit: its reservation, and the stream, or the release of what
-# was not used.
-PLACE_CALLS = 2
+# Calls of one reservation that count towards an endpoint's rate limit: the hold, and then the
+# stream or the release of the unused hold.
+RESERVATION_CALLS = 2
 
 
 @attrs.frozen
 class StreamPace:
-    """What a stream showed of its endpoint: tokens and their time.
+    """Measured output of one stream: tokens, and the time that they took.
 
-    `length_tokens` is that of the whole answer, once it has ended.
+    `length_tokens` is the length of the whole answer, once it has ended.
     """
 
     answer_tokens: int = 0
@@ -48,33 +48,36 @@
 
 
 @attrs.define
-class Place:
-    """At most one reservation at a time; `known` tells that the planner may count on it."""
+class Reservation:
+    """Holds at most one reservation at a time.
+
+    `known_to_planner`: the planner may count the request as waiting or running.
+    """
 
     node: NodeState
     job: Job
     size: RunSize
-    known: bool = False
+    known_to_planner: bool = False
     _hold: KvHold | None = None
     _load: EndpointLoad | None = None
     _tokens: int = 0
 
     @property
-    def taken(self) -> bool:
-        """Whether an endpoint has reserved memory for it, or runs it."""
+    def held(self) -> bool:
+        """True while an endpoint has memory reserved for the request or runs it."""
         return self._load is not None
 
     @property
     def owner(self) -> RunOwner:
-        """For whom the place is."""
-        whose, route = self.job.request.organisation, self.job.route
-        rank = combine_priorities(whose.priority if whose else None, route.priority)
-        return RunOwner(rank, whose.name if whose else "")
+        """The priority rank and the organisation of the request."""
+        organisation, route = self.job.request.organisation, self.job.route
+        rank = combine_priorities(organisation.priority if organisation else None, route.priority)
+        return RunOwner(rank, organisation.name if organisation else "")
 
     async def ask_planner(self, command: events.AskPlanner, returned: bool) -> events.Event:
-        """Ask the planner for a place, and wait for its answer."""
+        """Ask the planner for memory and return its answer as an event."""
         memory, request = self.node.memory, self.job.request
-        self.known = True
+        self.known_to_planner = True
         ask = MemoryAsk(
             request_id=request.request_id,
             reply_to=memory.own_address,
@@ -100,15 +103,18 @@
                 return events.PlanRefused(retry_after_ms)
         return events.PlanSilent()
 
-    async def reserve(self, command: events.AskHold) -> events.Event:
-        """Reserve memory at an endpoint; raises Break when it gives no answer."""
+    async def reserve(self, command: events.TakeHold) -> events.Event:
+        """Reserve memory at an endpoint and return the outcome as an event.
+
+        Raises Break when the endpoint gives no answer.
+        """
         endpoint, request_id = command.endpoint, self.job.request.request_id
-        permit = await self.node.limits.acquire_permit(endpoint, request_id, PLACE_CALLS)
+        permit = await self.node.limits.acquire_permit(endpoint, request_id, RESERVATION_CALLS)
         if isinstance(permit, NoPermit):
             self.node.figures.count_send("hold", "limited")
             return events.HoldFailed(endpoint.instance, broken=False)
         try:
-            hold = await self._take_beside_headroom(command, limited=permit is not FREE)
+            hold = await self._take_hold_with_headroom(command, limited=permit is not FREE)
         except Break as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
@@ -125,17 +131,20 @@
             )
             return events.HoldFailed(endpoint.instance, broken=False)
         self.node.figures.count_send("hold", "taken")
-        self._take(hold.ok_value, endpoint, command.tokens)
+        self._record_hold(hold.ok_value, endpoint, command.tokens)
         return events.HoldTaken(hold.ok_value)
 
-    async def _take_beside_headroom(
-        self, command: events.AskHold, limited: bool
+    async def _take_hold_with_headroom(
+        self, command: events.TakeHold, limited: bool
     ) -> Result[KvHold, NotExecuted]:
-        """The headroom is reserved first, to see that it is there, and given back at once."""
+        """Take a hold if the headroom is free as well.
+
+        To check this, the headroom is reserved first and released at once.
+        """
         calls, endpoint, now_ms = self.node.calls, command.endpoint, self.node.now_ms
         request = self.job.request
         headroom: KvHold | None = None
-        # An endpoint in need is spared the two calls.
+        # The check costs two calls, which rate-limited endpoints are spared.
         if command.headroom_tokens and not limited:
             free = await calls.take_hold(
                 endpoint, request, command.headroom_tokens, HEADROOM_MS, now_ms()
@@ -151,20 +160,20 @@
             if headroom is not None:
                 self.node.spawn(calls.drop_hold, headroom)
 
-    def _take(self, hold: KvHold, endpoint: ServiceEndpoint, tokens: int) -> None:
-        self._hold, self._tokens, self.known = hold, tokens, True
+    def _record_hold(self, hold: KvHold, endpoint: ServiceEndpoint, tokens: int) -> None:
+        self._hold, self._tokens, self.known_to_planner = hold, tokens, True
         self._load = self.node.loads.of(endpoint.instance)
         self._load.reserved_tokens += tokens
         request_id = self.job.request.request_id
         service, instance = self.job.service, endpoint.instance
         self.node.memory.begin(request_id, service, instance, self.size, self.owner)
 
-    def use(self) -> None:
-        """The request was sent with the reservation, which serves it from now on."""
+    def mark_used(self) -> None:
+        """Mark the hold as used by a stream, so that it is not released."""
         self._hold = None
 
-    def give_back(self) -> None:
-        """Free what is reserved and unused."""
+    def release(self) -> None:
+        """Release the reservation, and the hold unless a stream used it."""
         if self._load is not None:
             self._load.reserved_tokens -= self._tokens
             self._load = None
@@ -172,13 +181,13 @@
             self.node.spawn(self.node.calls.drop_hold, self._hold)
             self._hold = None
 
-    def tell_reading_ended(self, reader: StartId, whole: bool) -> None:
-        """Tell the planner that the reader is done with the prompt, well or not."""
+    def report_reading_ended(self, reader: StartId, whole: bool) -> None:
+        """Report to the planner that a prefill ended; `whole` if it succeeded."""
         request_id, service = self.job.request.request_id, self.job.service
         self.node.memory.end_prefill(ReadingEnded(request_id, service, reader, whole))
 
-    def tell_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
-        """Tell the planner that the place is free, and which endpoints failed the request."""
+    def report_end(self, pace: StreamPace, broken: tuple[StartId, ...]) -> None:
+        """Report to the planner that the memory is free, and which endpoints failed."""
         request_id, service = self.job.request.request_id, self.job.service
         release = MemoryRelease(
             request_id,
@@ -189,4 +198,4 @@
             pace.length_tokens,
         )
         self.node.memory.end(release)
-        self.known = False
+        self.known_to_planner = False
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the roles of engines in balance: executes the commands of `role_core`."""
+"""Balances the roles of engines: executes the commands of `role_core`."""
 
 import logging
 from collections.abc import Callable
@@ -10,96 +10,98 @@
 from saffronworks.forwarding import role_core
 from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import (
     Conflict,
     EndpointCalls,
-    ObjectSource,
-    SourceFailure,
+    ObjectStore,
+    ObjectStoreFailure,
     StoredObject,
 )
 from saffronworks.forwarding.role_core import (
-    GiveOrder,
-    Look,
+    EndpointsObserved,
+    OrderRole,
     RoleState,
     StoreRestored,
     TakeDuty,
 )
 from saffronworks.forwarding.routing import RoutingTable
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import Turns
 
 __all__ = ["DUTY_KIND", "RoleKeeper"]
 
 logger = logging.getLogger(__name__)
 
-# The kind of the objects that tell who may give orders; one object a service.
+# Kind of the store objects that name the node which may order role changes, one per service.
 DUTY_KIND = "saffron-duties"
-LOOK_EVERY_MS = 500
+CHECK_INTERVAL_MS = 500
 
 
 class RoleKeeper:
-    """Looks at the engines of every service, and orders role changes while it has the duty."""
+    """Checks the engines of every service, and orders role changes while it holds the duty."""
 
     def __init__(
         self,
         state: Callable[[], RoleState],
         directory: Directory,
-        store: ObjectSource,
+        store: ObjectStore,
         calls: EndpointCalls,
         table: Callable[[], RoutingTable | None],
-        turns: Turns,
+        node_order: NodeOrder,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
     ):
-        epoch.subscribe(self._forget_duties)
+        epoch.subscribe(self._reset_duties)
         self._new_state = state
         self._states: dict[str, RoleState] = {}
         self._directory = directory
         self._store = store
         self._calls = calls
         self._table = table
-        self._turns = turns
+        self._node_order = node_order
         self._now_ms = now_ms
         self._written = 0
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check all services every `CHECK_INTERVAL_MS` until cancelled."""
         while True:
-            await anyio.sleep(LOOK_EVERY_MS / 1000)
+            await anyio.sleep(CHECK_INTERVAL_MS / 1000)
             table = self._table()
             for service in table.services.values() if table else ():
                 if service.engine is not None:
-                    await self._look(service.name)
+                    await self._check(service.name)
 
-    def _forget_duties(self) -> None:
+    def _reset_duties(self) -> None:
         for state in self._states.values():
             role_core.step(state, StoreRestored(), self._now_ms())
 
-    async def _look(self, service: str) -> None:
+    async def _check(self, service: str) -> None:
         state = self._states.setdefault(service, self._new_state())
         now_ms = self._now_ms()
-        place = self._turns.place(f"{DUTY_KIND}/{service}")
-        event: role_core.Event = Look(self._directory.usable(service, now_ms), place)
+        position = self._node_order.position(f"{DUTY_KIND}/{service}")
+        event: role_core.Event = EndpointsObserved(
+            self._directory.usable(service, now_ms), position
+        )
         while (command := role_core.step(state, event, self._now_ms())) is not None:
             match command:
                 case TakeDuty():
                     event = await self._take_duty(service, state, command)
-                case GiveOrder():
+                case OrderRole():
                     event = await self._order(command, state)
 
     async def _take_duty(
         self, service: str, state: RoleState, command: TakeDuty
     ) -> role_core.Event:
-        """Confirm a duty of ours, take a free one, or learn who holds it."""
+        """Confirm the duty if this node holds it, else try to take it."""
         asked_ms = self._now_ms()
         self._written += 1
         content = msgspec.json.encode({"holder": state.node, "written": self._written})
-        revision = state.duty_revision if state.mine else command.free_revision
+        revision = state.duty_revision if state.is_holder else command.free_revision
         if revision is None:
             reply = await self._store.create(DUTY_KIND, service, content)
         else:
             reply = await self._store.replace(DUTY_KIND, service, content, revision)
-        event = _read_duty(reply, revision, state.mine)
+        event = _read_duty(reply, revision, state.is_holder)
         logger.info(
             "event=duty service=%s at_revision=%s result=%s took_ms=%d",
             service,
@@ -109,11 +111,11 @@
         )
         return event
 
-    async def _order(self, command: GiveOrder, state: RoleState) -> role_core.Event:
-        confirmed_ms_ago = self._now_ms() - state.duty_seen_ms
-        if confirmed_ms_ago > role_core.CONFIRMED_MS:
+    async def _order(self, command: OrderRole, state: RoleState) -> role_core.Event:
+        confirmed_ms_ago = self._now_ms() - state.duty_changed_ms
+        if confirmed_ms_ago > role_core.CONFIRMATION_VALID_MS:
             logger.info("event=order_dropped confirmed_ms_ago=%d", confirmed_ms_ago)
-            return role_core.Ordered(command.endpoint.instance, accepted=False)
+            return role_core.OrderAnswered(command.endpoint.instance, accepted=False)
         accepted: bool | None
         try:
             reply = await self._calls.order_role(
@@ -132,19 +134,23 @@
             accepted,
             reason,
         )
-        return role_core.Ordered(command.endpoint.instance, accepted)
+        return role_core.OrderAnswered(command.endpoint.instance, accepted)
 
 
 def _read_duty(
-    reply: Result[StoredObject, Conflict | SourceFailure],
+    reply: Result[StoredObject, Conflict | ObjectStoreFailure],
     asked_at: StoreRevision | None,
-    mine: bool,
+    is_holder: bool,
 ) -> role_core.Event:
-    """Only a duty confirmed within one epoch, or created for the first time, was nobody else's."""
+    """Return the event for the store's reply to a write of the duty.
+
+    Another node may have held the duty, unless this node confirmed it within one epoch of the store
+    or created it for the first time.
+    """
     match reply:
         case Ok(written):
             restored = asked_at is not None and written.revision.epoch != asked_at.epoch
-            took_over = restored or mine is (asked_at is None)
+            took_over = restored or is_holder is (asked_at is None)
             return role_core.DutyTaken(written.revision, took_over)
         case Err(Conflict(found)) if found is not None:
             return role_core.DutyHeldByOther(found.revision)
--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from saffronworks.forwarding.choices import NodeChoice
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.asks import Answer, Ask
 from saffronworks.forwarding.shares.ring import HolderRing
@@ -105,7 +105,7 @@
         case Begun():
             _choose(state, asking, now_ms)
         case Answered(holder, answer):
-            state.choice.hear(holder)
+            state.choice.record_answer(holder)
             if answer.admitted:
                 return Admitted(holder)
             known_ms = asking.retry_after_ms
@@ -125,7 +125,7 @@
     asked = state.ring.asked(asking.ask.subject, now_ms)
     turn = hash32(asking.ask.ask_id) % max(1, len(asked))
     in_turn = asked[turn:] + asked[:turn]
-    asking.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
+    asking.left = [node for node in in_turn if not state.choice.is_avoided(node, now_ms)]
     asking.heard_all = bool(holders) and len(asking.left) == len(holders)
 
 
--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -9,9 +9,9 @@
 
 import attrs
 
+from saffronworks.forwarding.node_order import NodeOrder, strong_nodes
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.turns import Turns, strong_nodes
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
@@ -120,7 +120,9 @@
 
     name = "store-news"
 
-    def __init__(self, turns: Turns, pace: NewsPace, epoch: StoreEpoch, now_ms: Callable[[], int]):
+    def __init__(
+        self, turns: NodeOrder, pace: NewsPace, epoch: StoreEpoch, now_ms: Callable[[], int]
+    ):
         self.turns = turns
         self.pace = pace
         self._epoch = epoch
@@ -142,7 +144,7 @@
 
         Silence is counted from when the zone became large enough.
         """
-        self.turns.take(cores, strong_nodes(cores))
+        self.turns.update(cores, strong_nodes(cores))
         was_shared, self._nodes = self.shared, cores.keys()
         if not was_shared:
             self._ahead_published_ms = dict.fromkeys(self._subscribers, self._now_ms())
@@ -156,7 +158,7 @@
         """Whether this node is a publisher now: it ranks first, or those before it are silent."""
         if not self.shared:
             return False
-        place = self.turns.place(kind)
+        place = self.turns.position(kind)
         if place < PUBLISHERS:
             return True
         wait_ms = self.pace.silent_ms + place // PUBLISHERS * NEXT_PUBLISHERS_MS
@@ -197,7 +199,7 @@
     def _handle(self, news: StoreNews) -> None:
         if news.kind not in self._subscribers:
             return
-        if self.turns.place(news.kind, news.sender) < self.turns.place(news.kind):
+        if self.turns.position(news.kind, news.sender) < self.turns.position(news.kind):
             self._ahead_published_ms[news.kind] = self._now_ms()
         self._epoch.observe(news.epoch)
         self._subscribers[news.kind](news)
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.event_streams import EventSequence
 from saffronworks.forwarding.generation_state import GenerationState
 from saffronworks.forwarding.messages import AnswerHead, EventMark
-from saffronworks.forwarding.places import StreamPace
+from saffronworks.forwarding.reservations import StreamPace
 from saffronworks.forwarding.runners import Job, NodeState, start_answer
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
@@ -50,7 +50,7 @@
         state, now_ms = self._state, self._node.now_ms()
         first = await run.read_first(max(1, state.deadline_at_ms - now_ms))
         self._pace_from = None
-        if state.begun or (state.may_repeat and self.last_event is not None):
+        if state.answer_started or (state.may_repeat and self.last_event is not None):
             self._require_follows(run, first, status)
         if first is not None and first.ids:
             self._pace_from = (first.ids[-1], self._node.now_ms())
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -23,6 +23,7 @@
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.identity import Identities
 from saffronworks.forwarding.loads import LoadTable
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.planning import messages as planning_messages
 from saffronworks.forwarding.planning.client import MemoryClient
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -40,7 +41,6 @@
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import CALLER_SEND_BUFFER_BYTES
-from saffronworks.forwarding.turns import Turns
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
 from saffronworks.platform.calls import PlatformCalls
@@ -92,10 +92,10 @@
             self._directory, self._limits, settings.drain_ms, monotonic_ms
         )
         self._calls = PlatformCalls(self._eligibility)
-        self._turns = Turns(settings.peer_address)
+        self._turns = NodeOrder(settings.peer_address)
         self._memory = MemoryClient(settings.peer_address, monotonic_ms())
         self._news = NewsFeed(
-            Turns(settings.peer_address),
+            NodeOrder(settings.peer_address),
             NewsPace.within(settings.follow_within_ms),
             self._store_epoch,
             monotonic_ms,
@@ -325,7 +325,7 @@
         self._news.update_zone({a: node.cores for a, node in nodes.items() if node.zone == zone})
         self._state.budget.nodes = max(1, len(cores))
         self._memory.choice.cores = cores
-        self._turns.take(cores)
+        self._turns.update(cores)
         self._quarantine.take_nodes(cores)
         self._quotas.take_nodes(cores)
         self._limits.take_nodes(cores)
@@ -339,7 +339,7 @@
 
     def _take_table(self, table: RoutingTable) -> bool:
         self._callers.keep_idle(table.limits.idle_timeout_ms / 1000)
-        taken = self._forwarder.take_table(table)
+        taken = self._forwarder.apply_table(table)
         if taken:
             self._quotas.take_table(table)
         self._share_connections()
--- a/saffronworks/tests/features/steps/generation_steps.py
+++ b/saffronworks/tests/features/steps/generation_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the core of a generation: no sockets, no clock."""
+"""Steps on the state machine of generations, without sockets or clock."""
 
 from behave import given, then
 from hypothesis import given as forall
@@ -15,60 +15,60 @@
     KvHold,
     Refuse,
 )
-from saffronworks.tests.endpoint_plays import REPLIES, head_of
-from saffronworks.tests.generation_plays import (
-    BREAKS,
+from saffronworks.tests.endpoint_fixtures import REPLIES, head_of
+from saffronworks.tests.generation_simulation import (
     POOLS,
-    gen_step,
+    RELAY_BREAKS,
     generation,
-    play_generation,
+    simulate_generation,
+    step_generation,
 )
 
 
-@given("a generation for two full decode endpoints and a free one")
-def full_decoders(context):
+@given("a generation, two full decode endpoints and a free one")
+def given_full_decoders(context):
     context.state = generation()
 
 
-@then("it asks them in order, reads once, and opens the stream where the memory is")
-def asks_in_order(context):
+@then("it asks them in order, prefills once, and opens the stream where memory is reserved")
+def check_order(context):
     state = context.state
-    command = gen_step(state, Begin())
+    command = step_generation(state, Begin())
     for full in ("d0", "d1"):
         assert command.endpoint.instance == full, command
-        command = gen_step(state, gen.HoldFailed(full, broken=False))
+        command = step_generation(state, gen.HoldFailed(full, broken=False))
     assert command.endpoint.instance == "d2" and command.tokens == 9000
-    command = gen_step(state, gen.HoldTaken(KvHold(command.endpoint, "k", 2000)))
+    command = step_generation(state, gen.HoldTaken(KvHold(command.endpoint, "k", 2000)))
     assert isinstance(command, gen.ReadPrompt) and command.endpoint.role is Role.PREFILL
-    command = gen_step(state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)))
+    command = step_generation(state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)))
     assert command == gen.OpenStream(POOLS.decoders[2]), command
     assert state.reads == 1
 
 
-@then("a decode endpoint that the planner named as reader reads by itself, until it starts over")
-def reads_by_itself(context):
+@then("a decode endpoint chosen for the prefill reads the prompt itself, until the next restart")
+def check_prefill_at_decoder(context):
     state = generation()
     state.plans_left = 2
-    assert isinstance(gen_step(state, Begin()), gen.AskPlanner)
-    hold = gen_step(state, gen.PlanGranted("d0", "d0"))
+    assert isinstance(step_generation(state, Begin()), gen.AskPlanner)
+    hold = step_generation(state, gen.PlanGranted("d0", "d0"))
     taken = gen.HoldTaken(KvHold(hold.endpoint, "k", 2000))
-    assert gen_step(state, taken) == gen.OpenStream(POOLS.decoders[0])
-    again = gen_step(state, gen.StreamBroken("d0", sent=False))
+    assert step_generation(state, taken) == gen.OpenStream(POOLS.decoders[0])
+    again = step_generation(state, gen.StreamBroken("d0", sent=False))
     assert isinstance(again, gen.AskPlanner) and state.reader is None
 
 
-@then("a caller who comes first is refused early, one who returned waits longer")
-def patience(context):
+@then("a caller's first attempt is refused early, and a retry waits longer for memory")
+def check_waiting_time(context):
     def refused_at_ms(returned):
         state, now_ms = generation(returned=returned), 0
-        command = gen_step(state, Begin(), now_ms)
+        command = step_generation(state, Begin(), now_ms)
         while not isinstance(command, Refuse):
             if isinstance(command, gen.Wait):
                 now_ms += command.pause_ms
-                command = gen_step(state, gen.Waited(), now_ms)
+                command = step_generation(state, gen.Waited(), now_ms)
             else:
                 failed = gen.HoldFailed(command.endpoint.instance, broken=False)
-                command = gen_step(state, failed, now_ms)
+                command = step_generation(state, failed, now_ms)
         assert command.status == 503 and command.not_run
         return now_ms
 
@@ -76,53 +76,53 @@
     assert 2500 < refused_at_ms(True) < 3600
 
 
-@given("a generation whose reader refused and whose next reader broke")
-def readers_fail(context):
+@given("a generation rejected by one prefill endpoint and broken off by the next")
+def fail_prefills(context):
     state = context.state = generation()
     hold = KvHold(POOLS.decoders[0], "k", 2000)
-    assert gen_step(state, gen.HoldTaken(hold)).endpoint.instance == "p0"
-    assert gen_step(state, gen.ReadFailed("p0", broken=False)).endpoint.instance == "p1"
-    assert isinstance(gen_step(state, gen.ReadFailed("p1", broken=True)), gen.OpenStream)
+    assert step_generation(state, gen.HoldTaken(hold)).endpoint.instance == "p0"
+    assert step_generation(state, gen.ReadFailed("p0", broken=False)).endpoint.instance == "p1"
+    assert isinstance(step_generation(state, gen.ReadFailed("p1", broken=True)), gen.OpenStream)
 
 
-@then("the planner hears of the one that broke, and hears it once")
-def hears_once(context):
+@then("the one that broke off is reported to the planner, and only once")
+def check_reported_once(context):
     context.state.plans_left = 1
-    command = gen_step(context.state, gen.StreamBroken("d0", sent=False))
+    command = step_generation(context.state, gen.StreamBroken("d0", sent=False))
     assert isinstance(command, gen.AskPlanner), command
     assert command.broken == ("d0", "p1") and set(command.avoid) == {"d0", "p0", "p1"}
-    assert context.state.take_broken() == ()
+    assert context.state.pop_broken() == ()
 
 
-@then("where a handle was lost, of the reader that had it")
-def lost_handle(context):
+@then("after a lost KV handle, the prefill endpoint that held it is reported")
+def check_lost_handle(context):
     state = generation()
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
     state.handle = KvHandle(POOLS.prefillers[1], "h", 5000)
     refusal = AnswerHead(503, (), Executed.NO, signed=False, reason="status-503")
-    gen_step(state, gen.StreamAnswered("d0", refusal))
-    assert state.take_broken() == ("p1",)
+    step_generation(state, gen.StreamAnswered("d0", refusal))
+    assert state.pop_broken() == ("p1",)
 
 
-@then("whatever endpoints answer, a generation that may not repeat runs once at most")
-def runs_once(context):
-    @forall(REPLIES, BREAKS)
+@then("whatever endpoints answer, an unrepeatable generation runs at most once")
+def check_runs_once(context):
+    @forall(REPLIES, RELAY_BREAKS)
     def check(replies, breaks):
-        assert play_generation(False, replies, breaks).runs <= 1
-        assert play_generation(True, replies, breaks).runs <= 2
+        assert simulate_generation(False, replies, breaks).runs <= 1
+        assert simulate_generation(True, replies, breaks).runs <= 2
 
     check()
 
 
-@then("a generation that has run is never refused with a promise")
-def generation_truthful(context):
-    @forall(st.booleans(), REPLIES, BREAKS)
+@then("the refusal of a generation that was executed never promises that it was not")
+def check_refusals(context):
+    @forall(st.booleans(), REPLIES, RELAY_BREAKS)
     def check(may_repeat, replies, breaks):
-        played = play_generation(may_repeat, replies, breaks)
-        end = played.end
+        simulated = simulate_generation(may_repeat, replies, breaks)
+        end = simulated.end
         if isinstance(end, Refuse):
-            assert not played.resumed, "an answer that began is cut, not refused"
-            assert end.not_run == (played.runs == 0), played
+            assert not simulated.resumed, "an answer that started is cut, not refused"
+            assert end.not_run == (simulated.runs == 0), simulated
             assert plain.promises_not_run(end.status) == end.not_run, end
 
     check()
@@ -132,27 +132,33 @@
     state = generation(may_repeat)
     state.hold = KvHold(POOLS.decoders[0], "k", 2000)
     state.streams = 1
-    command = gen_step(state, gen.StreamAnswered("d0", head_of("ok")), 400)
+    command = step_generation(state, gen.StreamAnswered("d0", head_of("ok")), 400)
     assert command == gen.StartStream(head_of("ok")), command
     return state
 
 
 @given("a resumable stream that broke after some events")
-def broke(context):
+def break_off_stream(context):
     context.state = streaming(may_repeat=True)
-    context.command = gen_step(context.state, gen.RelayBroken("d0", known=True), 500)
+    context.command = step_generation(
+        context.state, gen.RelayBroken("d0", position_known=True), 500
+    )
 
 
-@then("memory is reserved at another endpoint, and the stream goes on there")
-def goes_on(context):
+@then("memory is reserved at another endpoint, and the stream continues there")
+def check_stream_continues(context):
     assert context.command.endpoint.instance == "d1", context.command
     hold = KvHold(context.command.endpoint, "k2", 2500)
-    command = gen_step(context.state, gen.HoldTaken(hold), 510)
-    command = gen_step(context.state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)), 600)
+    command = step_generation(context.state, gen.HoldTaken(hold), 510)
+    command = step_generation(
+        context.state, gen.PromptRead(KvHandle(command.endpoint, "h", 5000)), 600
+    )
     assert command == gen.OpenStream(POOLS.decoders[1])
 
 
-@then("a stream that may not be resumed is cut")
-def is_cut(context):
-    command = gen_step(streaming(may_repeat=False), gen.RelayBroken("d0", known=True), 500)
+@then("a stream that is not resumable is cut")
+def check_stream_cut(context):
+    command = step_generation(
+        streaming(may_repeat=False), gen.RelayBroken("d0", position_known=True), 500
+    )
     assert isinstance(command, gen.Cut), command
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -7,9 +7,9 @@
 
 from saffronworks.bundles import Role
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.client import MemoryClient, RunSize
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -121,7 +121,7 @@
 
 @then("a node that has just started avoids a silent planner for a moment only")
 def avoided_for_a_moment(context):
-    choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=YOUNG_MS)
+    choice = NodeChoice({"a": 1.0, "b": 1.0}, starting_until_ms=YOUNG_MS)
     first = choice.choose("s", 0)
     assert choice.avoid(first, 0) == YOUNG_AVOID_MS
     assert choice.choose("s", YOUNG_AVOID_MS - 1) != first
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -3,6 +3,7 @@
 import anyio
 from behave import then
 
+from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_news import (
     LATE_MS,
@@ -16,7 +17,6 @@
     StoreNews,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import Turns
 from saffronworks.tests.revisions import at
 from saffronworks.tests.zone_plays import FOLLOW_WITHIN_MS, KIND, play_zone
 
@@ -112,7 +112,7 @@
 
 
 def make_feed(own, now_ms):
-    return NewsFeed(Turns(own), NewsPace.within(FOLLOW_WITHIN_MS), StoreEpoch(), now_ms)
+    return NewsFeed(NodeOrder(own), NewsPace.within(FOLLOW_WITHIN_MS), StoreEpoch(), now_ms)
 
 
 def news(node, since, revision, **changes):
@@ -168,10 +168,10 @@
 def late_answer(context):
     posted = []
     pace = NewsPace.within(FOLLOW_WITHIN_MS)
-    feed = NewsFeed(Turns("a"), pace, StoreEpoch(), lambda: 0)
+    feed = NewsFeed(NodeOrder("a"), pace, StoreEpoch(), lambda: 0)
     feed.subscribe(KIND, lambda news: None)
     feed.update_zone({"a": 2.0} | {f"n{index}": 1.0 for index in range(MIN_SHARED_NODES)})
-    feed.turns.take(["a"])
+    feed.turns.update(["a"])
     feed._kernel = type("K", (), {"post": lambda self, name, message: posted.append(message)})()
     in_time_ms = pace.watch_wait_ms + LATE_MS
     answer = Listing((StoredObject("e1", at(2), b"told"),), at(2))
@@ -223,7 +223,7 @@
             feed = make_feed(own, lambda: 0)
             feed.subscribe(KIND, lambda news: None)
             feed.update_zone(cores)
-            if feed.turns.place(KIND) < PUBLISHERS:
+            if feed.turns.position(KIND) < PUBLISHERS:
                 tellers.append(own)
         assert sorted(own[0] for own in tellers) == telling, tellers
 
--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -10,14 +10,14 @@
 from saffronworks.forwarding.messages import Begin, Refuse
 from saffronworks.forwarding.plain_core import promises_not_run
 from saffronworks.platform.answer_fields import is_refusal
-from saffronworks.tests.endpoint_plays import endpoints, wide_budget
+from saffronworks.tests.endpoint_fixtures import endpoints, wide_budget
 from saffronworks.tests.rejection_plays import (
     GENERATION_TURNS,
     PLAIN_TURNS,
     play_generation,
     play_plain,
 )
-from saffronworks.tests.scripted_wires import REPLIES, play_path
+from saffronworks.tests.scripted_wires import REPLIES, simulate_requests
 
 
 def check_promise(may_repeat, end):
@@ -78,7 +78,7 @@
         st.lists(st.booleans(), max_size=3),
     )
     def check(words, held):
-        for status, may_have_run in play_path(streams, words, held, requests=3):
+        for status, may_have_run in simulate_requests(streams, words, held, requests=3):
             assert may_have_run <= 1, (words, held)
             assert not (may_have_run and promises_not_run(status)), (status, words, held)
 
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.ports import StoredObject
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.role_keeper import _read_duty
-from saffronworks.tests.endpoint_plays import endpoints
+from saffronworks.tests.endpoint_fixtures import endpoints
 from saffronworks.tests.quarantine_plays import DEADLY, fleet_that_knows
 from saffronworks.tests.revisions import at
 
@@ -82,14 +82,14 @@
 def duty_lost(context):
     for state in (context.holder, context.other):
         for now_ms in range(0, RESTORED_MS, 500):
-            roles.step(state, roles.Look([]), now_ms)
+            roles.step(state, roles.EndpointsObserved([]), now_ms)
         roles.step(state, roles.StoreRestored(), RESTORED_MS)
 
 
 def first_ask(state, engines, from_ms):
     """The command by which a node asks for the duty, and when."""
     for now_ms in range(from_ms, from_ms + 60_000, 100):
-        command = roles.step(state, roles.Look(engines), now_ms)
+        command = roles.step(state, roles.EndpointsObserved(engines), now_ms)
         if command is not None:
             return command, now_ms
     raise AssertionError("never asked")
@@ -99,11 +99,11 @@
 def claims_again(context):
     command, asked_ms = first_ask(context.holder, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None) and asked_ms < RESTORED_MS + 6000
-    reply = _read_duty(Ok(StoredObject("s", at(40, epoch=2), b"")), None, mine=True)
+    reply = _read_duty(Ok(StoredObject("s", at(40, epoch=2), b"")), None, is_holder=True)
     assert roles.step(context.holder, reply, asked_ms) is None
     _, again_ms = first_ask(context.holder, context.engines, asked_ms)
     assert again_ms >= asked_ms + 3300
-    reply = _read_duty(Ok(StoredObject("s", at(44, epoch=2), b"")), at(40, epoch=2), mine=True)
+    reply = _read_duty(Ok(StoredObject("s", at(44, epoch=2), b"")), at(40, epoch=2), is_holder=True)
     order = roles.step(context.holder, reply, again_ms)
     assert order.fence > at(900).fence
 
@@ -112,15 +112,15 @@
 def other_waits(context):
     command, asked_ms = first_ask(context.other, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None)
-    assert asked_ms >= RESTORED_MS + roles.ORDER_OPEN_MS
+    assert asked_ms >= RESTORED_MS + roles.ORDER_TIMEOUT_MS
 
 
 @then("a confirmation that overwrote an object of the later epoch counts as taking it over")
 def overwrote(context):
     written = Ok(StoredObject("s", at(41, epoch=2), b""))
-    assert _read_duty(written, at(40, epoch=1), mine=True) == roles.DutyTaken(at(41, 2), True)
-    assert _read_duty(written, at(40, epoch=2), mine=True) == roles.DutyTaken(at(41, 2), False)
-    assert _read_duty(written, None, mine=False) == roles.DutyTaken(at(41, 2), False)
+    assert _read_duty(written, at(40, epoch=1), is_holder=True) == roles.DutyTaken(at(41, 2), True)
+    assert _read_duty(written, at(40, epoch=2), is_holder=True) == roles.DutyTaken(at(41, 2), False)
+    assert _read_duty(written, None, is_holder=False) == roles.DutyTaken(at(41, 2), False)
 
 
 @then("owners write what is quarantined again, and remove again what was cleared")
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -20,7 +20,13 @@
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.plans import PlanState
 from saffronworks.forwarding.planning.service import MemoryPlanner
-from saffronworks.forwarding.role_core import Look, OpenOrder, Ordered, RoleState, step
+from saffronworks.forwarding.role_core import (
+    EndpointsObserved,
+    OpenOrder,
+    OrderAnswered,
+    RoleState,
+    step,
+)
 from saffronworks.forwarding.starts import StartId, is_later, start_id
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
@@ -59,7 +65,7 @@
 def nothing_known(context):
     before, later = start_id("e0", 5), start_id("e0", 9)
     loads, plan = LoadTable("z"), PlanState(0, 90_000, 8)
-    loads.of(before).fail(0, unreachable=True)
+    loads.of(before).record_failure(0, unreachable=True)
     plan.ejections.record_failure(before, 0)
     plan.full_until_ms[before] = 5000
     plan.prefill.prefillers = {before: "z", later: "z"}
@@ -309,10 +315,10 @@
     state = RoleState("n", 3000, 300)
     before = start("e0", 5, role=Role.PREFILL)
     state.orders[before.instance] = OpenOrder(Role.DECODE, ordered_ms=0)
-    step(state, Ordered(before.instance, None), 100)
+    step(state, OrderAnswered(before.instance, None), 100)
     others = [
         start(f"d{index}", 5, f"127.0.0.1:{index + 2}", role=Role.DECODE) for index in range(4)
     ]
     later = start("e0", 9, role=Role.PREFILL)
-    assert step(state, Look([later, *others]), 3000) is None
+    assert step(state, EndpointsObserved([later, *others]), 3000) is None
     assert not state.orders, "the later start was given no order"
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -16,7 +16,7 @@
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.planning.core import PlanState, Tick
 from saffronworks.forwarding.planning.core import step as plan_step
-from saffronworks.tests.endpoint_plays import endpoints
+from saffronworks.tests.endpoint_fixtures import endpoints
 
 SUSPENDED_S = 30
 # A node has periodic work at this pace at least, so that its event loop looks at the time.
@@ -67,7 +67,7 @@
     before_ms, after_ms = context.before_ms, context.after_ms
     state = role_core.RoleState("n", 3000, 300)
     role_core.step(state, role_core.DutyTaken(7, took_over=False), before_ms)
-    assert after_ms - state.duty_seen_ms > role_core.CONFIRMED_MS
+    assert after_ms - state.duty_changed_ms > role_core.CONFIRMATION_VALID_MS
     plan = PlanState(before_ms - 5000, 90_000, 8)
     plan.last_event_ms = before_ms
     assert plan.is_complete(before_ms)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_core import step as generation_step
-from saffronworks.forwarding.generation_state import Out
+from saffronworks.forwarding.generation_state import Delivered
 from saffronworks.forwarding.identity import Identities
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
@@ -46,8 +46,8 @@
 from saffronworks.forwarding.runners import NodeState
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.tests.concurrent_runs import Habits, play_service
-from saffronworks.tests.endpoint_plays import REPLY_KINDS, endpoints, head_of, wide_budget
-from saffronworks.tests.generation_plays import POOLS, generation
+from saffronworks.tests.endpoint_fixtures import REPLY_KINDS, endpoints, head_of, wide_budget
+from saffronworks.tests.generation_simulation import POOLS, generation
 from saffronworks.tests.quarantine_plays import DEADLY, endpoint_at, fleet_that_knows
 from saffronworks.wire import Codec
 
@@ -379,14 +379,14 @@
         for may_repeat in (False, True):
             state = generation(may_repeat)
             state.hold = HOLD
-            command = generation_step(state, event, POOLS, wide_budget(), 10, barred=ENDS_ENDPOINTS)
-            assert not isinstance(command, gen.Seek), (event, command)
+            command = generation_step(state, event, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS)
+            assert not isinstance(command, gen.AttemptCommand), (event, command)
             refusals += command == ENDS_ENDPOINTS
     assert refusals > len(GENERATION_EVENTS), refusals
     begun = generation(may_repeat=True)
-    begun.hold, begun.out = HOLD, Out.STREAM
-    lost = gen.RelayBroken(POOLS.decoders[0].instance, known=True)
-    assert generation_step(begun, lost, POOLS, wide_budget(), 10, barred=ENDS_ENDPOINTS) == gen.Cut(
+    begun.hold, begun.delivered = HOLD, Delivered.STREAM
+    lost = gen.RelayBroken(POOLS.decoders[0].instance, position_known=True)
+    assert generation_step(begun, lost, POOLS, wide_budget(), 10, denial=ENDS_ENDPOINTS) == gen.Cut(
         "ends-endpoints"
     )
 
@@ -402,6 +402,6 @@
         for event in events:
             state = plain_core.PlainState("s", True, 3, 900, 5000)
             command = plain_core.step(
-                state, event, ranked, wide_budget(), 10, barred=ENDS_ENDPOINTS
+                state, event, ranked, wide_budget(), 10, denial=ENDS_ENDPOINTS
             )
             assert not isinstance(command, plain_core.SendTo), (event, command)
--- a/saffronworks/tests/generation_plays.py
+++ b/saffronworks/tests/generation_simulation.py
@@ -1,4 +1,4 @@
-"""Plays on the core of a generation: endpoints that answer in given ways, no sockets, no clock."""
+"""Simulated runs of the state machine of generations, without sockets or clock."""
 
 import attrs
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding.generation_state import GenerationState, Pools
 from saffronworks.forwarding.messages import Begin, KvHandle, KvHold
-from saffronworks.tests.endpoint_plays import MOST_STEPS, endpoints, head_of, wide_budget
+from saffronworks.tests.endpoint_fixtures import MOST_STEPS, endpoints, head_of, wide_budget
 
 
 def generation(may_repeat=False, returned=False):
@@ -21,7 +21,7 @@
         0,
         14_000,
         2000,
-        gives_up_ms=3600,
+        first_event_timeout_ms=3600,
         returned=returned,
         plans_left=0,
     )
@@ -30,13 +30,13 @@
 POOLS = Pools(endpoints(3, Role.DECODE, "d"), endpoints(2, Role.PREFILL, "p"))
 
 
-def gen_step(state, event, now_ms=10, pools=POOLS):
+def step_generation(state, event, now_ms=10, pools=POOLS):
     return generation_core.step(state, event, pools, wide_budget(), now_ms)
 
 
 @attrs.frozen
-class Played:
-    """`resumed`: how often a begun answer broke; `relayed`: heads of what was passed on."""
+class SimulatedRun:
+    """`resumed`: how often a started answer broke off; `relayed`: heads of the relayed answers."""
 
     runs: int
     resumed: int
@@ -44,19 +44,19 @@
     end: object
 
 
-def play_generation(may_repeat, replies, relay_breaks):
-    """Holds and reads succeed; streams answer in the given ways."""
+def simulate_generation(may_repeat, replies, relay_breaks):
+    """Run a generation: holds and prefills succeed, streams answer as given in `replies`."""
     state, now_ms, runs, resumed = generation(may_repeat), 0, 0, 0
     relayed, head = [], None
     waiting, breaks = list(replies), list(relay_breaks)
-    command = gen_step(state, Begin(), now_ms)
+    command = step_generation(state, Begin(), now_ms)
     for _ in range(MOST_STEPS):
         now_ms += 10
         if isinstance(command, gen.StartStream | gen.RelayFailure | gen.ContinueStream):
             assert head == getattr(command, "head", head), (command, head)
             relayed.append(head)
         match command:
-            case gen.AskHold(endpoint):
+            case gen.TakeHold(endpoint):
                 event = gen.HoldTaken(KvHold(endpoint, "k", now_ms + 2000))
             case gen.ReadPrompt(endpoint):
                 event = gen.PromptRead(KvHandle(endpoint, "h", 5000))
@@ -73,14 +73,14 @@
                 breaks and breaks.pop(0)
             ):
                 resumed += 1
-                event = gen.RelayBroken(state.hold.endpoint.instance, known=True)
+                event = gen.RelayBroken(state.hold.endpoint.instance, position_known=True)
             case gen.Wait(pause_ms):
                 now_ms += pause_ms
                 event = gen.Waited()
             case _:
-                return Played(runs, resumed, relayed, command)
-        command = gen_step(state, event, now_ms)
+                return SimulatedRun(runs, resumed, relayed, command)
+        command = step_generation(state, event, now_ms)
     raise AssertionError(f"no end: {command}")
 
 
-BREAKS = st.lists(st.booleans(), max_size=3)
+RELAY_BREAKS = st.lists(st.booleans(), max_size=3)
--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -28,7 +28,7 @@
     Refuse,
 )
 from saffronworks.forwarding.retry_budget import RetryBudget
-from saffronworks.tests.endpoint_plays import MOST_STEPS, endpoints
+from saffronworks.tests.endpoint_fixtures import MOST_STEPS, endpoints
 
 __all__ = ["GENERATION_TURNS", "PLAIN_TURNS", "End", "play_generation", "play_plain"]
 
@@ -165,7 +165,7 @@
 
 def play_generation(may_repeat, played):
     state = GenerationState(
-        "s", 9000, may_repeat, 3, 900, 0, 14_000, 2000, gives_up_ms=3600, plans_left=2
+        "s", 9000, may_repeat, 3, 900, 0, 14_000, 2000, first_event_timeout_ms=3600, plans_left=2
     )
     budget, now_ms, ran, told = narrow_budget(), 0, 0, None
     event = Begin()
@@ -186,7 +186,7 @@
             case gen.Wait(pause_ms):
                 now_ms += pause_ms
                 event = gen.Waited()
-            case gen.AskPlanner() | gen.AskHold() | gen.ReadPrompt():
+            case gen.AskPlanner() | gen.TakeHold() | gen.ReadPrompt():
                 event = _place_event(command, turn, now_ms)
             case _:
                 # Once an answer began, its status is what the caller was told.
@@ -217,9 +217,9 @@
             return gen.PlanGranted("d0", "p0" if turn.known else "d0")
         case gen.AskPlanner():
             return gen.PlanRefused(900) if turn.known else gen.PlanSilent()
-        case gen.AskHold(endpoint) if turn.granted:
+        case gen.TakeHold(endpoint) if turn.granted:
             return gen.HoldTaken(KvHold(endpoint, "k", now_ms + 2000))
-        case gen.AskHold(endpoint):
+        case gen.TakeHold(endpoint):
             return gen.HoldFailed(endpoint.instance, turn.breaks)
         case gen.ReadPrompt(endpoint) if turn.granted:
             return gen.PromptRead(KvHandle(endpoint, "h", 5000))
--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -7,10 +7,10 @@
 
 from saffronworks.clocks import monotonic_ms
 from saffronworks.forwarding.followers import Follower
-from saffronworks.forwarding.ports import HistoryGone, Listing, SourceFailure, StoredObject
+from saffronworks.forwarding.node_order import NodeOrder
+from saffronworks.forwarding.ports import HistoryGone, Listing, ObjectStoreFailure, StoredObject
 from saffronworks.forwarding.store_news import NewsFeed, NewsPace, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.turns import Turns
 from saffronworks.kernel import Kernel
 from saffronworks.tests.revisions import at
 
@@ -73,7 +73,7 @@
         self.kernel = Kernel(self.address, monotonic_ms)
         pace = NewsPace.within(FOLLOW_WITHIN_MS)
         self.epoch = StoreEpoch()
-        self.feed = NewsFeed(Turns(self.address), pace, self.epoch, monotonic_ms)
+        self.feed = NewsFeed(NodeOrder(self.address), pace, self.epoch, monotonic_ms)
         self.kernel.register(self.feed, StoreNews)
         self.kernel.post = self.post
         rng = random.Random(number)
@@ -104,14 +104,14 @@
             await anyio.sleep_forever()
         if self.cut:
             await anyio.sleep(0.05)
-            return Err(SourceFailure("ConnectTimeout"))
+            return Err(ObjectStoreFailure("ConnectTimeout"))
         self.store.calls += 1
         if revision is None:
             self.epoch.observe(self.store.epoch)
             return Ok(self.store.listing())
         heard = await self.store.since(revision, wait_ms)
         if self.cut:
-            return Err(SourceFailure("ReadError", cut=True))
+            return Err(ObjectStoreFailure("ReadError", cut=True))
         if self.dead:
             await anyio.sleep(5)
         return heard
