--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -19,10 +19,10 @@
     Command,
     EndpointEnded,
     Event,
-    Found,
     Learned,
     Look,
     Looked,
+    ProbeResult,
     RanWell,
     Record,
     RecordRead,
@@ -162,14 +162,14 @@
 
 def _take_look(state: QuarantineState, event: Looked, now_ms: int) -> list[Command]:
     look = state.looks[event.instance]
-    look.refused += event.found is Found.REFUSES
-    look.silent += event.found is Found.SILENT
-    if event.found is Found.REFUSES and look.refused < LOOKS:
+    look.refused += event.found is ProbeResult.REFUSES
+    look.silent += event.found is ProbeResult.SILENT
+    if event.found is ProbeResult.REFUSES and look.refused < LOOKS:
         return [Look(look.endpoint, LOOK_AGAIN_MS)]
-    if event.found is Found.SILENT and look.silent < SILENT_LOOKS:
+    if event.found is ProbeResult.SILENT and look.silent < SILENT_LOOKS:
         return [Look(look.endpoint, SILENT_LOOK_AGAIN_MS)]
     del state.looks[event.instance]
-    if event.found is not Found.REFUSES and not event.found.ended:
+    if event.found is not ProbeResult.REFUSES and not event.found.ended:
         return []
     ended = EndpointEnded(event.instance, len(look.contents), event.found)
     return [ended, *_add_ends(state, look.contents, event.instance, now_ms)]
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -14,7 +14,7 @@
     "Command",
     "EndpointEnded",
     "Event",
-    "Found",
+    "ProbeResult",
     "Learned",
     "Look",
     "Looked",
@@ -30,7 +30,7 @@
 ]
 
 
-class Found(enum.Enum):
+class ProbeResult(enum.Enum):
     """What a look at an endpoint found."""
 
     LISTENS = "listens"
@@ -43,7 +43,7 @@
     @property
     def ended(self) -> bool:
         """Whether it shows by itself that the endpoint has ended."""
-        return self in (Found.GONE, Found.STARTED_AGAIN)
+        return self in (ProbeResult.GONE, ProbeResult.STARTED_AGAIN)
 
 
 @attrs.frozen
@@ -61,7 +61,7 @@
     """A look at an endpoint is over."""
 
     instance: StartId
-    found: Found
+    found: ProbeResult
 
 
 @attrs.frozen
@@ -134,7 +134,7 @@
 
     instance: StartId
     contents: int
-    found: Found
+    found: ProbeResult
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.ports import EndpointCalls, ObjectSource
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
-from saffronworks.forwarding.quarantine.events import Found
+from saffronworks.forwarding.quarantine.events import ProbeResult
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
 from saffronworks.forwarding.quarantine.records import QuarantineRecords
 from saffronworks.forwarding.quarantine.suspicions import Admission, is_quarantined
@@ -167,21 +167,21 @@
     async def _look(self, endpoint: ServiceEndpoint, after_ms: int) -> None:
         await anyio.sleep(after_ms / 1000)
         found = await self._find(endpoint)
-        if found is not Found.REFUSES:
+        if found is not ProbeResult.REFUSES:
             logger.info(
                 "event=endpoint_looked_at endpoint=%s found=%s", endpoint.instance, found.value
             )
         self._take(events.Looked(endpoint.instance, found))
 
-    async def _find(self, endpoint: ServiceEndpoint) -> Found:
+    async def _find(self, endpoint: ServiceEndpoint) -> ProbeResult:
         """What there is at the address; a later start there shows the end of this one."""
         listens = await self._calls.listens(endpoint)
         latest = self._directory.named(endpoint.name)
         if latest is not None and latest.instance != endpoint.instance:
-            return Found.STARTED_AGAIN
+            return ProbeResult.STARTED_AGAIN
         if listens is None:
-            return Found.GONE if latest is None else Found.SILENT
-        return Found.LISTENS if listens else Found.REFUSES
+            return ProbeResult.GONE if latest is None else ProbeResult.SILENT
+        return ProbeResult.LISTENS if listens else ProbeResult.REFUSES
 
     async def _until_done(
         self, write: Callable[[_Written], Coroutine[Any, Any, bool]], what: _Written
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -27,7 +27,7 @@
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine import messages as quarantine_messages
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
-from saffronworks.forwarding.quarantine.events import Found
+from saffronworks.forwarding.quarantine.events import ProbeResult
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
 from saffronworks.forwarding.quarantine.service import Quarantine
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable
@@ -121,21 +121,21 @@
 def shows_end(context):
     instance = endpoint_at(1).instance
     for found, shows in (
-        ((Found.REFUSES, Found.REFUSES), True),
-        ((Found.STARTED_AGAIN,), True),
-        ((Found.REFUSES, Found.STARTED_AGAIN), True),
-        ((Found.REFUSES, Found.LISTENS), False),
-        ((Found.LISTENS,), False),
-        ((Found.SILENT, Found.LISTENS), False),
-        ((Found.SILENT,) * SILENT_LOOKS, False),
-        ((Found.SILENT, Found.SILENT, Found.GONE), True),
-        ((Found.SILENT, Found.REFUSES, Found.REFUSES), True),
+        ((ProbeResult.REFUSES, ProbeResult.REFUSES), True),
+        ((ProbeResult.STARTED_AGAIN,), True),
+        ((ProbeResult.REFUSES, ProbeResult.STARTED_AGAIN), True),
+        ((ProbeResult.REFUSES, ProbeResult.LISTENS), False),
+        ((ProbeResult.LISTENS,), False),
+        ((ProbeResult.SILENT, ProbeResult.LISTENS), False),
+        ((ProbeResult.SILENT,) * SILENT_LOOKS, False),
+        ((ProbeResult.SILENT, ProbeResult.SILENT, ProbeResult.GONE), True),
+        ((ProbeResult.SILENT, ProbeResult.REFUSES, ProbeResult.REFUSES), True),
     ):
         state = alone()
         assert step(state, broke(), 0) == [events.Look(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
             commands = step(state, events.Looked(instance, seen), 300)
-            pause_ms = SILENT_LOOK_AGAIN_MS if seen is Found.SILENT else LOOK_AGAIN_MS
+            pause_ms = SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else LOOK_AGAIN_MS
             again = [events.Look(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(DEADLY) is not None) is shows, found
@@ -188,7 +188,7 @@
     commands = [step(state, broke(f"c{number}"), 0) for number in range(64)]
     assert sum(map(len, commands)) == 1
     for _ in range(2):
-        step(state, events.Looked(endpoint_at(1).instance, Found.REFUSES), 300)
+        step(state, events.Looked(endpoint_at(1).instance, ProbeResult.REFUSES), 300)
     assert len(state.table) == 64
 
 
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -16,7 +16,7 @@
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
-from saffronworks.forwarding.quarantine.events import Found
+from saffronworks.forwarding.quarantine.events import ProbeResult
 from saffronworks.forwarding.quarantine.messages import SuspicionNews
 from saffronworks.forwarding.quarantine.suspicions import Admission
 from saffronworks.forwarding.quarantine.tuning import (
@@ -97,7 +97,7 @@
         for command in step(node.state, event, self.now_ms):
             match command:
                 case events.Look(endpoint, after_ms):
-                    looked = events.Looked(endpoint.instance, Found.REFUSES)
+                    looked = events.Looked(endpoint.instance, ProbeResult.REFUSES)
                     self.at(after_ms + 5, self.take, name, looked)
                 case events.Tell(targets, news):
                     for target in targets:
