--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -20,8 +20,8 @@
     EndpointEnded,
     Event,
     Learned,
-    Look,
     Looked,
+    Probe,
     ProbeResult,
     RanWell,
     Record,
@@ -157,7 +157,7 @@
         state.looks[instance].contents.add(event.content)
         return []
     state.looks[instance] = _OpenLook(event.endpoint, {event.content})
-    return [Look(event.endpoint, 0)]
+    return [Probe(event.endpoint, 0)]
 
 
 def _take_look(state: QuarantineState, event: Looked, now_ms: int) -> list[Command]:
@@ -165,9 +165,9 @@
     look.refused += event.found is ProbeResult.REFUSES
     look.silent += event.found is ProbeResult.SILENT
     if event.found is ProbeResult.REFUSES and look.refused < LOOKS:
-        return [Look(look.endpoint, LOOK_AGAIN_MS)]
+        return [Probe(look.endpoint, LOOK_AGAIN_MS)]
     if event.found is ProbeResult.SILENT and look.silent < SILENT_LOOKS:
-        return [Look(look.endpoint, SILENT_LOOK_AGAIN_MS)]
+        return [Probe(look.endpoint, SILENT_LOOK_AGAIN_MS)]
     del state.looks[event.instance]
     if event.found is not ProbeResult.REFUSES and not event.found.ended:
         return []
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -16,7 +16,7 @@
     "Event",
     "ProbeResult",
     "Learned",
-    "Look",
+    "Probe",
     "Looked",
     "RecordRead",
     "RecordsLost",
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class Look:
+class Probe:
     """See whether somebody listens at the endpoint, after a pause."""
 
     endpoint: ServiceEndpoint
@@ -144,4 +144,4 @@
     suspicion: Suspicion
 
 
-Command = Look | Tell | Record | Unrecord | EndpointEnded | Learned
+Command = Probe | Tell | Record | Unrecord | EndpointEnded | Learned
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -135,7 +135,7 @@
 
     def _execute(self, command: events.Command) -> None:
         match command:
-            case events.Look(endpoint, after_ms):
+            case events.Probe(endpoint, after_ms):
                 self._start(self._look, endpoint, after_ms)
             case events.Tell(nodes, news):
                 self._tell(nodes, news)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -132,11 +132,11 @@
         ((ProbeResult.SILENT, ProbeResult.REFUSES, ProbeResult.REFUSES), True),
     ):
         state = alone()
-        assert step(state, broke(), 0) == [events.Look(endpoint_at(1), 0)]
+        assert step(state, broke(), 0) == [events.Probe(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
             commands = step(state, events.Looked(instance, seen), 300)
             pause_ms = SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else LOOK_AGAIN_MS
-            again = [events.Look(endpoint_at(1), pause_ms)]
+            again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(DEADLY) is not None) is shows, found
         assert not state.looks
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -96,7 +96,7 @@
         node = self.nodes[name]
         for command in step(node.state, event, self.now_ms):
             match command:
-                case events.Look(endpoint, after_ms):
+                case events.Probe(endpoint, after_ms):
                     looked = events.Looked(endpoint.instance, ProbeResult.REFUSES)
                     self.at(after_ms + 5, self.take, name, looked)
                 case events.Tell(targets, news):
