--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -20,8 +20,8 @@
     EndpointEnded,
     Event,
     Learned,
-    Looked,
     Probe,
+    ProbeFinished,
     ProbeResult,
     RanWell,
     Record,
@@ -129,7 +129,7 @@
     match event:
         case RunBroke():
             return _take_break(state, event, now_ms)
-        case Looked():
+        case ProbeFinished():
             return _take_look(state, event, now_ms)
         case RanWell(content):
             return _share(state, state.table.add_good_run(content, now_ms), now_ms)
@@ -160,7 +160,7 @@
     return [Probe(event.endpoint, 0)]
 
 
-def _take_look(state: QuarantineState, event: Looked, now_ms: int) -> list[Command]:
+def _take_look(state: QuarantineState, event: ProbeFinished, now_ms: int) -> list[Command]:
     look = state.looks[event.instance]
     look.refused += event.found is ProbeResult.REFUSES
     look.silent += event.found is ProbeResult.SILENT
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -17,7 +17,7 @@
     "ProbeResult",
     "Learned",
     "Probe",
-    "Looked",
+    "ProbeFinished",
     "RecordRead",
     "RecordsLost",
     "RanWell",
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class Looked:
+class ProbeFinished:
     """A look at an endpoint is over."""
 
     instance: StartId
@@ -95,7 +95,16 @@
     """Time passed."""
 
 
-Event = RunBroke | Looked | RanWell | TrialBegan | RecordRead | RecordsLost | SuspicionNews | Tick
+Event = (
+    RunBroke
+    | ProbeFinished
+    | RanWell
+    | TrialBegan
+    | RecordRead
+    | RecordsLost
+    | SuspicionNews
+    | Tick
+)
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -171,7 +171,7 @@
             logger.info(
                 "event=endpoint_looked_at endpoint=%s found=%s", endpoint.instance, found.value
             )
-        self._take(events.Looked(endpoint.instance, found))
+        self._take(events.ProbeFinished(endpoint.instance, found))
 
     async def _find(self, endpoint: ServiceEndpoint) -> ProbeResult:
         """What there is at the address; a later start there shows the end of this one."""
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -134,7 +134,7 @@
         state = alone()
         assert step(state, broke(), 0) == [events.Probe(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
-            commands = step(state, events.Looked(instance, seen), 300)
+            commands = step(state, events.ProbeFinished(instance, seen), 300)
             pause_ms = SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else LOOK_AGAIN_MS
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
@@ -188,7 +188,7 @@
     commands = [step(state, broke(f"c{number}"), 0) for number in range(64)]
     assert sum(map(len, commands)) == 1
     for _ in range(2):
-        step(state, events.Looked(endpoint_at(1).instance, ProbeResult.REFUSES), 300)
+        step(state, events.ProbeFinished(endpoint_at(1).instance, ProbeResult.REFUSES), 300)
     assert len(state.table) == 64
 
 
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -97,7 +97,7 @@
         for command in step(node.state, event, self.now_ms):
             match command:
                 case events.Probe(endpoint, after_ms):
-                    looked = events.Looked(endpoint.instance, ProbeResult.REFUSES)
+                    looked = events.ProbeFinished(endpoint.instance, ProbeResult.REFUSES)
                     self.at(after_ms + 5, self.take, name, looked)
                 case events.Tell(targets, news):
                     for target in targets:
