--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -28,7 +28,7 @@
     RecordRead,
     RecordsLost,
     RunBroke,
-    Tell,
+    SendNews,
     Tick,
     TrialBegan,
     Unrecord,
@@ -268,6 +268,6 @@
 
 def _tell(
     state: QuarantineState, nodes: tuple[str, ...], suspicions: Iterable[Suspicion], now_ms: int
-) -> Tell:
+) -> SendNews:
     aged = tuple(state.table.aged(suspicion, now_ms) for suspicion in suspicions)
-    return Tell(nodes, SuspicionNews(state.own, aged))
+    return SendNews(nodes, SuspicionNews(state.own, aged))
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -23,7 +23,7 @@
     "RanWell",
     "Record",
     "RunBroke",
-    "Tell",
+    "SendNews",
     "Tick",
     "TrialBegan",
     "Unrecord",
@@ -116,7 +116,7 @@
 
 
 @attrs.frozen
-class Tell:
+class SendNews:
     """Tell these nodes."""
 
     nodes: tuple[str, ...]
@@ -153,4 +153,4 @@
     suspicion: Suspicion
 
 
-Command = Probe | Tell | Record | Unrecord | EndpointEnded | Learned
+Command = Probe | SendNews | Record | Unrecord | EndpointEnded | Learned
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -137,7 +137,7 @@
         match command:
             case events.Probe(endpoint, after_ms):
                 self._start(self._look, endpoint, after_ms)
-            case events.Tell(nodes, news):
+            case events.SendNews(nodes, news):
                 self._tell(nodes, news)
             case events.Record(suspicion):
                 self._start(self._until_done, self._records.write, suspicion)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -75,7 +75,7 @@
 
 
 def tell_at(state, now_ms):
-    (told,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.Tell)]
+    (told,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
     return told.news
 
 
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -99,7 +99,7 @@
                 case events.Probe(endpoint, after_ms):
                     looked = events.ProbeFinished(endpoint.instance, ProbeResult.REFUSES)
                     self.at(after_ms + 5, self.take, name, looked)
-                case events.Tell(targets, news):
+                case events.SendNews(targets, news):
                     for target in targets:
                         self._send(name, target, news)
                 case events.Record(suspicion):
