--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -24,7 +24,6 @@
     ProbeFinished,
     ProbeResult,
     RanWell,
-    Record,
     RecordRead,
     RecordsLost,
     RunBroke,
@@ -32,6 +31,7 @@
     Tick,
     TrialBegan,
     Unrecord,
+    WriteRecord,
 )
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
 from saffronworks.forwarding.quarantine.suspicions import (
@@ -226,7 +226,7 @@
     """Each owner writes it: the first one finds no record, the others find that one."""
     if len(news.ended) < ENDS_TO_QUARANTINE or not state.is_owner(news.content):
         return []
-    return [Record(news) if is_quarantined(news) else Unrecord(news.content)]
+    return [WriteRecord(news) if is_quarantined(news) else Unrecord(news.content)]
 
 
 def _forget(state: QuarantineState, now_ms: int) -> list[Command]:
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -21,7 +21,7 @@
     "RecordRead",
     "RecordsLost",
     "RanWell",
-    "Record",
+    "WriteRecord",
     "RunBroke",
     "SendNews",
     "Tick",
@@ -124,7 +124,7 @@
 
 
 @attrs.frozen
-class Record:
+class WriteRecord:
     """Write a quarantined content to the store, so that it outlives all nodes."""
 
     suspicion: Suspicion
@@ -153,4 +153,4 @@
     suspicion: Suspicion
 
 
-Command = Probe | SendNews | Record | Unrecord | EndpointEnded | Learned
+Command = Probe | SendNews | WriteRecord | Unrecord | EndpointEnded | Learned
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -139,7 +139,7 @@
                 self._start(self._look, endpoint, after_ms)
             case events.SendNews(nodes, news):
                 self._tell(nodes, news)
-            case events.Record(suspicion):
+            case events.WriteRecord(suspicion):
                 self._start(self._until_done, self._records.write, suspicion)
             case events.Unrecord(content):
                 self._start(self._until_done, self._records.remove, content)
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -102,7 +102,7 @@
                 case events.SendNews(targets, news):
                     for target in targets:
                         self._send(name, target, news)
-                case events.Record(suspicion):
+                case events.WriteRecord(suspicion):
                     self.stored.setdefault(suspicion.content, suspicion)
                 case events.Unrecord(content):
                     self.stored.pop(content, None)
