--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -26,11 +26,11 @@
     RanWell,
     RecordRead,
     RecordsLost,
+    RemoveRecord,
     RunBroke,
     SendNews,
     Tick,
     TrialBegan,
-    Unrecord,
     WriteRecord,
 )
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
@@ -226,7 +226,7 @@
     """Each owner writes it: the first one finds no record, the others find that one."""
     if len(news.ended) < ENDS_TO_QUARANTINE or not state.is_owner(news.content):
         return []
-    return [WriteRecord(news) if is_quarantined(news) else Unrecord(news.content)]
+    return [WriteRecord(news) if is_quarantined(news) else RemoveRecord(news.content)]
 
 
 def _forget(state: QuarantineState, now_ms: int) -> list[Command]:
@@ -235,7 +235,7 @@
     state.forgot_ms = now_ms
     old = state.table.forget_old(now_ms)
     return [
-        Unrecord(suspicion.content)
+        RemoveRecord(suspicion.content)
         for suspicion in old
         if is_quarantined(suspicion) and state.is_owner(suspicion.content)
     ]
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -26,7 +26,7 @@
     "SendNews",
     "Tick",
     "TrialBegan",
-    "Unrecord",
+    "RemoveRecord",
 ]
 
 
@@ -131,7 +131,7 @@
 
 
 @attrs.frozen
-class Unrecord:
+class RemoveRecord:
     """Remove it from the store."""
 
     content: ContentId
@@ -153,4 +153,4 @@
     suspicion: Suspicion
 
 
-Command = Probe | SendNews | WriteRecord | Unrecord | EndpointEnded | Learned
+Command = Probe | SendNews | WriteRecord | RemoveRecord | EndpointEnded | Learned
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -141,7 +141,7 @@
                 self._tell(nodes, news)
             case events.WriteRecord(suspicion):
                 self._start(self._until_done, self._records.write, suspicion)
-            case events.Unrecord(content):
+            case events.RemoveRecord(content):
                 self._start(self._until_done, self._records.remove, content)
             case events.EndpointEnded(instance, contents, found):
                 logger.info(
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -104,7 +104,7 @@
                         self._send(name, target, news)
                 case events.WriteRecord(suspicion):
                     self.stored.setdefault(suspicion.content, suspicion)
-                case events.Unrecord(content):
+                case events.RemoveRecord(content):
                     self.stored.pop(content, None)
 
     def _send(self, name, target, news):
