--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -27,7 +27,7 @@
     RecordRead,
     RecordsLost,
     RemoveRecord,
-    RunBroke,
+    RunFailed,
     SendNews,
     Tick,
     TrialBegan,
@@ -127,7 +127,7 @@
 def step(state: QuarantineState, event: Event, now_ms: int) -> list[Command]:
     """What is to be done."""
     match event:
-        case RunBroke():
+        case RunFailed():
             return _take_break(state, event, now_ms)
         case ProbeFinished():
             return _take_look(state, event, now_ms)
@@ -146,7 +146,7 @@
     return []
 
 
-def _take_break(state: QuarantineState, event: RunBroke, now_ms: int) -> list[Command]:
+def _take_break(state: QuarantineState, event: RunFailed, now_ms: int) -> list[Command]:
     """Suspect nothing before the end is shown; one look serves all runs that broke with it."""
     if event.leaving or event.cause not in _ENDS:
         return []
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -22,7 +22,7 @@
     "RecordsLost",
     "RanWell",
     "WriteRecord",
-    "RunBroke",
+    "RunFailed",
     "SendNews",
     "Tick",
     "TrialBegan",
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class RunBroke:
+class RunFailed:
     """An endpoint closed while it worked on a content; `leaving` if that was foreseen."""
 
     content: ContentId
@@ -96,7 +96,7 @@
 
 
 Event = (
-    RunBroke
+    RunFailed
     | ProbeFinished
     | RanWell
     | TrialBegan
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -118,7 +118,7 @@
             return
         known = self._directory.endpoints.get(endpoint.instance)
         leaving = known is None or known.draining
-        self._take(events.RunBroke(request.content, endpoint, broken.cause, leaving))
+        self._take(events.RunFailed(request.content, endpoint, broken.cause, leaving))
 
     def note_whole(self, request: CallerRequest, framed: bool) -> None:
         """A success came whole. Only if its endpoint told the end: a close may be its own end."""
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -102,7 +102,7 @@
 
 
 def broke(content=DEADLY, number=1, cause=BreakCause.CLOSED, **changes):
-    return events.RunBroke(content, endpoint_at(number), cause, **changes)
+    return events.RunFailed(content, endpoint_at(number), cause, **changes)
 
 
 def alone():
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -136,7 +136,7 @@
     def _end(self, name, runs_left):
         self.ends.append(self.now_ms)
         endpoint = endpoint_at(next(self._endpoints))
-        self.take(name, events.RunBroke(DEADLY, endpoint, BreakCause.CLOSED))
+        self.take(name, events.RunFailed(DEADLY, endpoint, BreakCause.CLOSED))
         admission = self.nodes[name].state.table.admission(DEADLY, self.now_ms)
         if runs_left and admission is Admission.FREE:
             self._run(name, runs_left)
