--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -23,11 +23,11 @@
     Probe,
     ProbeFinished,
     ProbeResult,
-    RanWell,
     RecordRead,
     RecordsLost,
     RemoveRecord,
     RunFailed,
+    RunSucceeded,
     SendNews,
     Tick,
     TrialBegan,
@@ -131,7 +131,7 @@
             return _take_break(state, event, now_ms)
         case ProbeFinished():
             return _take_look(state, event, now_ms)
-        case RanWell(content):
+        case RunSucceeded(content):
             return _share(state, state.table.add_good_run(content, now_ms), now_ms)
         case TrialBegan(content):
             return _share(state, state.table.take_trial(content, now_ms), now_ms)
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -20,7 +20,7 @@
     "ProbeFinished",
     "RecordRead",
     "RecordsLost",
-    "RanWell",
+    "RunSucceeded",
     "WriteRecord",
     "RunFailed",
     "SendNews",
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class RanWell:
+class RunSucceeded:
     """A run of the content came to a whole answer, whose end the endpoint told."""
 
     content: ContentId
@@ -98,7 +98,7 @@
 Event = (
     RunFailed
     | ProbeFinished
-    | RanWell
+    | RunSucceeded
     | TrialBegan
     | RecordRead
     | RecordsLost
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -123,7 +123,7 @@
     def note_whole(self, request: CallerRequest, framed: bool) -> None:
         """A success came whole. Only if its endpoint told the end: a close may be its own end."""
         if framed and not self._state.idle:
-            self._take(events.RanWell(request.content))
+            self._take(events.RunSucceeded(request.content))
 
     # What follows.
 
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -132,7 +132,7 @@
     for name in fleet.names:
         fleet.take(name, events.RecordsLost())
     assert fleet.stored.keys() == copy.keys()
-    fleet.take(fleet.names[0], events.RanWell(DEADLY))
+    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
     fleet.run(fleet.now_ms + 5000)
     fleet.stored |= copy
     for name in fleet.names:
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -62,7 +62,7 @@
     state = QuarantineState("n1", random.Random(1))
     state.take_nodes(["n1", "n2"])
     assert state.idle and not step(state, events.Tick(), 10_000)
-    assert not step(state, events.RanWell(DEADLY), 1000) and state.idle
+    assert not step(state, events.RunSucceeded(DEADLY), 1000) and state.idle
 
 
 @then("a fleet that knows of a content tells it five times a second and node at most")
@@ -196,12 +196,12 @@
 def good_run(context):
     early = alone()
     ended(early, DEADLY, 1, 2)
-    step(early, events.RanWell(DEADLY), 10)
+    step(early, events.RunSucceeded(DEADLY), 10)
     ended(early, DEADLY, 3, 4)
     assert early.admission(DEADLY, 20) is Admission.FREE
     fleet = fleet_that_knows()
     assert fleet.knowing() == 7 and DEADLY in fleet.stored
-    fleet.take(fleet.names[0], events.RanWell(DEADLY))
+    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
     fleet.run(fleet.now_ms + CONTACT_MS)
     assert fleet.knowing() == 0 and DEADLY not in fleet.stored
 
@@ -224,7 +224,7 @@
     fleet = fleet_that_knows()
     missed = fleet.names[5]
     fleet.nodes[missed].away = True
-    fleet.take(fleet.names[0], events.RanWell(DEADLY))
+    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
     fleet.run(fleet.now_ms + 30_000)
     assert fleet.knowing() == 1
     fleet.nodes[missed].away = False
@@ -317,7 +317,7 @@
     assert freed.admission(DEADLY, TRIAL_AFTER_MS) is Admission.TRIAL
     step(freed, events.TrialBegan(DEADLY), TRIAL_AFTER_MS)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS + 1) is Admission.REFUSED
-    step(freed, events.RanWell(DEADLY), TRIAL_AFTER_MS + 2)
+    step(freed, events.RunSucceeded(DEADLY), TRIAL_AFTER_MS + 2)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS + 3) is Admission.FREE
 
 
