--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -30,7 +30,7 @@
     RunSucceeded,
     SendNews,
     Tick,
-    TrialBegan,
+    TrialStarted,
     WriteRecord,
 )
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
@@ -133,7 +133,7 @@
             return _take_look(state, event, now_ms)
         case RunSucceeded(content):
             return _share(state, state.table.add_good_run(content, now_ms), now_ms)
-        case TrialBegan(content):
+        case TrialStarted(content):
             return _share(state, state.table.take_trial(content, now_ms), now_ms)
         case RecordRead(suspicion):
             return _hear(state, suspicion, now_ms)
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -25,7 +25,7 @@
     "RunFailed",
     "SendNews",
     "Tick",
-    "TrialBegan",
+    "TrialStarted",
     "RemoveRecord",
 ]
 
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class TrialBegan:
+class TrialStarted:
     """A quarantined content is sent to one endpoint, once."""
 
     content: ContentId
@@ -99,7 +99,7 @@
     RunFailed
     | ProbeFinished
     | RunSucceeded
-    | TrialBegan
+    | TrialStarted
     | RecordRead
     | RecordsLost
     | SuspicionNews
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -104,7 +104,7 @@
 
     def begin_trial(self, request: CallerRequest) -> None:
         """A request on trial is sent to its endpoint now: no other one is."""
-        self._take(events.TrialBegan(request.content))
+        self._take(events.TrialStarted(request.content))
 
     def note_break(
         self, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break, waited_for: bool
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -287,14 +287,14 @@
         assert admissions == {Admission.TRIAL}, admissions
         assert state.admission(DEADLY, now_ms) is Admission.REFUSED
         for content in contents:
-            step(state, events.TrialBegan(content), now_ms)
+            step(state, events.TrialStarted(content), now_ms)
             ended(state, content, rng.randint(1, 12), now_ms=now_ms)
         admissions = {state.admission(content, now_ms + TRIAL_SOON_MS) for content in contents}
         assert admissions == {Admission.REFUSED}, admissions
         now_ms += TRIAL_AFTER_MS
         # Had its own trial meanwhile, and ended one more.
         if state.admission(DEADLY, now_ms) is Admission.TRIAL:
-            step(state, events.TrialBegan(DEADLY), now_ms)
+            step(state, events.TrialStarted(DEADLY), now_ms)
             ended(state, DEADLY, 51, now_ms=now_ms)
 
 
@@ -315,7 +315,7 @@
     freed.take_nodes(["n1"])
     ended(freed, DEADLY, 1, 2, 3)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS) is Admission.TRIAL
-    step(freed, events.TrialBegan(DEADLY), TRIAL_AFTER_MS)
+    step(freed, events.TrialStarted(DEADLY), TRIAL_AFTER_MS)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS + 1) is Admission.REFUSED
     step(freed, events.RunSucceeded(DEADLY), TRIAL_AFTER_MS + 2)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS + 3) is Admission.FREE
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -126,7 +126,7 @@
             case Admission.FREE:
                 self._run(name, MOST_RUNS)
             case Admission.TRIAL:
-                self.take(name, events.TrialBegan(DEADLY))
+                self.take(name, events.TrialStarted(DEADLY))
                 self._run(name, 1)
 
     def _run(self, name, runs_left):
