--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -19,7 +19,6 @@
     Command,
     EndpointEnded,
     Event,
-    Learned,
     Probe,
     ProbeFinished,
     ProbeResult,
@@ -29,6 +28,7 @@
     RunFailed,
     RunSucceeded,
     SendNews,
+    SuspicionChanged,
     Tick,
     TrialStarted,
     WriteRecord,
@@ -219,7 +219,7 @@
     if not is_serious(news):
         return []
     told = _tell_some(state, TELL_FANOUT, (news,), now_ms) if is_quarantined(news) else []
-    return [Learned(news), *told, *_record(state, news)]
+    return [SuspicionChanged(news), *told, *_record(state, news)]
 
 
 def _record(state: QuarantineState, news: Suspicion) -> list[Command]:
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -15,7 +15,7 @@
     "EndpointEnded",
     "Event",
     "ProbeResult",
-    "Learned",
+    "SuspicionChanged",
     "Probe",
     "ProbeFinished",
     "RecordRead",
@@ -147,10 +147,10 @@
 
 
 @attrs.frozen
-class Learned:
+class SuspicionChanged:
     """A belief to log: what is now known of a content that is serious."""
 
     suspicion: Suspicion
 
 
-Command = Probe | SendNews | WriteRecord | RemoveRecord | EndpointEnded | Learned
+Command = Probe | SendNews | WriteRecord | RemoveRecord | EndpointEnded | SuspicionChanged
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -151,7 +151,7 @@
                     found.value,
                     self._directory.revision,
                 )
-            case events.Learned(suspicion):
+            case events.SuspicionChanged(suspicion):
                 _log_learned(suspicion)
 
     def _start(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
