--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -46,8 +46,8 @@
     FORGET_EVERY_MS,
     FRESH_MS,
     LOOK_AGAIN_MS,
-    LOOKS,
     MOST_TOLD,
+    REFUSED_PROBES,
     SILENT_LOOK_AGAIN_MS,
     SILENT_LOOKS,
     TELL_FANOUT,
@@ -164,7 +164,7 @@
     look = state.looks[event.instance]
     look.refused += event.found is ProbeResult.REFUSES
     look.silent += event.found is ProbeResult.SILENT
-    if event.found is ProbeResult.REFUSES and look.refused < LOOKS:
+    if event.found is ProbeResult.REFUSES and look.refused < REFUSED_PROBES:
         return [Probe(look.endpoint, LOOK_AGAIN_MS)]
     if event.found is ProbeResult.SILENT and look.silent < SILENT_LOOKS:
         return [Probe(look.endpoint, SILENT_LOOK_AGAIN_MS)]
