--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -45,8 +45,8 @@
     ENDS_TO_QUARANTINE,
     FORGET_EVERY_MS,
     FRESH_MS,
-    LOOK_AGAIN_MS,
     MOST_TOLD,
+    REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
     SILENT_LOOK_AGAIN_MS,
     SILENT_LOOKS,
@@ -165,7 +165,7 @@
     look.refused += event.found is ProbeResult.REFUSES
     look.silent += event.found is ProbeResult.SILENT
     if event.found is ProbeResult.REFUSES and look.refused < REFUSED_PROBES:
-        return [Probe(look.endpoint, LOOK_AGAIN_MS)]
+        return [Probe(look.endpoint, REFUSED_PROBE_INTERVAL_MS)]
     if event.found is ProbeResult.SILENT and look.silent < SILENT_LOOKS:
         return [Probe(look.endpoint, SILENT_LOOK_AGAIN_MS)]
     del state.looks[event.instance]
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -9,7 +9,7 @@
 # An endpoint is taken as ended when it refuses a connection so often, with this pause between: an
 # overloaded one refuses some, and one that ended is back after a second at the soonest.
 REFUSED_PROBES = 2
-LOOK_AGAIN_MS = 200
+REFUSED_PROBE_INTERVAL_MS = 200
 # One that says nothing may be cut off from this node alone: it is looked at until it answers, or
 # the store lists it no more, which takes three heartbeats of some 1.2 s.
 SILENT_LOOKS = 6
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -34,9 +34,9 @@
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
     FRESH_MS,
-    LOOK_AGAIN_MS,
     MOST_SUSPICIONS,
     MOST_TOLD,
+    REFUSED_PROBE_INTERVAL_MS,
     SILENT_LOOK_AGAIN_MS,
     SILENT_LOOKS,
     TELL_REST_MS,
@@ -135,7 +135,9 @@
         assert step(state, broke(), 0) == [events.Probe(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
             commands = step(state, events.ProbeFinished(instance, seen), 300)
-            pause_ms = SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else LOOK_AGAIN_MS
+            pause_ms = (
+                SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else REFUSED_PROBE_INTERVAL_MS
+            )
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(DEADLY) is not None) is shows, found
