--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -38,7 +38,7 @@
     MOST_TOLD,
     REFUSED_PROBE_INTERVAL_MS,
     SILENT_LOOK_AGAIN_MS,
-    SILENT_LOOKS,
+    SILENT_PROBES,
     TELL_REST_MS,
     TRIAL_AFTER_MS,
     TRIAL_SOON_MS,
@@ -127,7 +127,7 @@
         ((ProbeResult.REFUSES, ProbeResult.LISTENS), False),
         ((ProbeResult.LISTENS,), False),
         ((ProbeResult.SILENT, ProbeResult.LISTENS), False),
-        ((ProbeResult.SILENT,) * SILENT_LOOKS, False),
+        ((ProbeResult.SILENT,) * SILENT_PROBES, False),
         ((ProbeResult.SILENT, ProbeResult.SILENT, ProbeResult.GONE), True),
         ((ProbeResult.SILENT, ProbeResult.REFUSES, ProbeResult.REFUSES), True),
     ):
