--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -48,7 +48,7 @@
     MOST_TOLD,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
-    SILENT_LOOK_AGAIN_MS,
+    SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
     TELL_FANOUT,
     TELL_REST_MS,
@@ -167,7 +167,7 @@
     if event.found is ProbeResult.REFUSES and look.refused < REFUSED_PROBES:
         return [Probe(look.endpoint, REFUSED_PROBE_INTERVAL_MS)]
     if event.found is ProbeResult.SILENT and look.silent < SILENT_PROBES:
-        return [Probe(look.endpoint, SILENT_LOOK_AGAIN_MS)]
+        return [Probe(look.endpoint, SILENT_PROBE_INTERVAL_MS)]
     del state.looks[event.instance]
     if event.found is not ProbeResult.REFUSES and not event.found.ended:
         return []
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -13,7 +13,7 @@
 # One that says nothing may be cut off from this node alone: it is looked at until it answers, or
 # the store lists it no more, which takes three heartbeats of some 1.2 s.
 SILENT_PROBES = 6
-SILENT_LOOK_AGAIN_MS = 1000
+SILENT_PROBE_INTERVAL_MS = 1000
 # A quarantined content may be run once more after this long, by one endpoint: if the ends were
 # another one's its caller is served again, if not it has ended one endpoint more for good.
 TRIAL_AFTER_MS = 600_000
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -37,7 +37,7 @@
     MOST_SUSPICIONS,
     MOST_TOLD,
     REFUSED_PROBE_INTERVAL_MS,
-    SILENT_LOOK_AGAIN_MS,
+    SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
     TELL_REST_MS,
     TRIAL_AFTER_MS,
@@ -136,7 +136,9 @@
         for number, seen in enumerate(found, 1):
             commands = step(state, events.ProbeFinished(instance, seen), 300)
             pause_ms = (
-                SILENT_LOOK_AGAIN_MS if seen is ProbeResult.SILENT else REFUSED_PROBE_INTERVAL_MS
+                SILENT_PROBE_INTERVAL_MS
+                if seen is ProbeResult.SILENT
+                else REFUSED_PROBE_INTERVAL_MS
             )
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
