--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -16,7 +16,7 @@
     ENDS_TO_QUARANTINE,
     KEEP_QUARANTINED_MS,
     KEEP_SUSPECT_MS,
-    MOST_ENDED,
+    MAX_ENDED_STARTS,
     MOST_SUSPICIONS,
     TRIAL_AFTER_MS,
     TRIAL_SOON_MS,
@@ -169,7 +169,7 @@
 def _join(known: Suspicion, heard: Suspicion) -> Suspicion:
     return Suspicion(
         known.content,
-        tuple(sorted({*known.ended, *heard.ended})[:MOST_ENDED]),
+        tuple(sorted({*known.ended, *heard.ended})[:MAX_ENDED_STARTS]),
         known.ran_well or heard.ran_well,
         max(known.trials, heard.trials),
     )
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -5,7 +5,7 @@
 # in one try.
 ENDS_TO_QUARANTINE = 3
 # Ends that are kept of one content; more change nothing.
-MOST_ENDED = 6
+MAX_ENDED_STARTS = 6
 # An endpoint is taken as ended when it refuses a connection so often, with this pause between: an
 # overloaded one refuses some, and one that ended is back after a second at the soonest.
 REFUSED_PROBES = 2
