--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -17,7 +17,7 @@
     KEEP_QUARANTINED_MS,
     KEEP_SUSPECT_MS,
     MAX_ENDED_STARTS,
-    MOST_SUSPICIONS,
+    MAX_SUSPICIONS,
     TRIAL_AFTER_MS,
     TRIAL_SOON_MS,
 )
@@ -96,7 +96,7 @@
         return both
 
     def _bound(self) -> None:
-        if len(self._entries) > MOST_SUSPICIONS:
+        if len(self._entries) > MAX_SUSPICIONS:
             least = min(self._entries.values(), key=_weight)
             del self._entries[least.suspicion.content]
 
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -29,7 +29,7 @@
 # How often old entries are looked for; they are kept for minutes at least.
 FORGET_EVERY_MS = 5000
 # An end of an endpoint leaves 64 of them at most; one takes 0.5 KB.
-MOST_SUSPICIONS = 2048
+MAX_SUSPICIONS = 2048
 # Nodes that put together what others saw of one content: three, as two may be gone at once.
 CONTENT_OWNERS = 3
 # At this pace two of them are told what is new: 195 nodes, with 60 more gone, know it within 1.1 s
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -34,7 +34,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
     FRESH_MS,
-    MOST_SUSPICIONS,
+    MAX_SUSPICIONS,
     MOST_TOLD,
     REFUSED_PROBE_INTERVAL_MS,
     SILENT_PROBE_INTERVAL_MS,
@@ -86,12 +86,12 @@
     for number in range(30):
         step(state, events.RecordRead(Suspicion(f"{number:031x}b", QUARANTINED_BY)), number)
     codec = Codec(planning_messages, quarantine_messages)
-    for number in range(3 * MOST_SUSPICIONS):
+    for number in range(3 * MAX_SUSPICIONS):
         instances = ("e1@1796248012000", "e2@1796248012000")[: 1 + number % 2]
         heard = Suspicion(f"{number:032x}", instances)
         step(state, SuspicionNews("n2", (heard,)), 100 + number)
-    assert len(state.table) <= MOST_SUSPICIONS
-    last_ms = 100 + 3 * MOST_SUSPICIONS
+    assert len(state.table) <= MAX_SUSPICIONS
+    last_ms = 100 + 3 * MAX_SUSPICIONS
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
     assert Admission.FREE not in judged
     told = tell_at(state, last_ms)
