--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -45,7 +45,7 @@
     ENDS_TO_QUARANTINE,
     FORGET_EVERY_MS,
     FRESH_MS,
-    MOST_TOLD,
+    MAX_SUSPICIONS_PER_MESSAGE,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
     SILENT_PROBE_INTERVAL_MS,
@@ -251,9 +251,9 @@
     if not fresh and now_ms - state.told_ms < TELL_REST_MS:
         return []
     state.told_ms = now_ms
-    newest = fresh[: MOST_TOLD // 2]
+    newest = fresh[: MAX_SUSPICIONS_PER_MESSAGE // 2]
     others = [one for one in (*fresh, *state.table.quarantined()) if one not in newest]
-    sample = state.rng.sample(others, min(len(others), MOST_TOLD // 2))
+    sample = state.rng.sample(others, min(len(others), MAX_SUSPICIONS_PER_MESSAGE // 2))
     return _tell_some(state, TELL_FANOUT if fresh else 1, (*newest, *sample), now_ms)
 
 
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -41,7 +41,7 @@
 FRESH_MS = 5000
 TELL_REST_MS = 500
 # Contents in one message, 0.2 KB each; at rest half of them, so that a node tells 3 KB/s at most.
-MOST_TOLD = 16
+MAX_SUSPICIONS_PER_MESSAGE = 16
 # A node reads the store's records of quarantined contents at its start, and once more for what was
 # just being written then; both by answers that may be seconds old, which cost a tenth.
 READ_RECORDS_PAUSES_S = (0.2, 4.0)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -35,7 +35,7 @@
     ENDS_TO_QUARANTINE,
     FRESH_MS,
     MAX_SUSPICIONS,
-    MOST_TOLD,
+    MAX_SUSPICIONS_PER_MESSAGE,
     REFUSED_PROBE_INTERVAL_MS,
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
@@ -95,10 +95,12 @@
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
     assert Admission.FREE not in judged
     told = tell_at(state, last_ms)
-    assert len(told.suspicions) == MOST_TOLD and len(codec.encode(told)) < 3500
+    assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
     told = tell_at(state, last_ms + FRESH_MS + 1)
     most_bytes_s = len(codec.encode(told)) * 1000 / TELL_REST_MS
-    assert len(told.suspicions) == MOST_TOLD // 2 and most_bytes_s < 4000, most_bytes_s
+    assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
+        most_bytes_s
+    )
 
 
 def broke(content=DEADLY, number=1, cause=BreakCause.CLOSED, **changes):
