--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -19,10 +19,10 @@
 from saffronworks.forwarding.quarantine.records import QuarantineRecords
 from saffronworks.forwarding.quarantine.suspicions import Admission, is_quarantined
 from saffronworks.forwarding.quarantine.tuning import (
+    GOSSIP_INTERVAL_MS,
     READ_RECORDS_PAUSES_S,
     RECORD_AGAIN_S,
     RECORD_TRIES,
-    TELL_EVERY_MS,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
@@ -213,7 +213,7 @@
         """Let time pass while something is suspected."""
         while True:
             await self._suspects.wait()
-            await anyio.sleep(TELL_EVERY_MS / 1000)
+            await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
             self._take(events.Tick())
             if self._state.idle:
                 self._suspects = anyio.Event()
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -20,8 +20,8 @@
 from saffronworks.forwarding.quarantine.messages import SuspicionNews
 from saffronworks.forwarding.quarantine.suspicions import Admission
 from saffronworks.forwarding.quarantine.tuning import (
+    GOSSIP_INTERVAL_MS,
     READ_RECORDS_PAUSES_S,
-    TELL_EVERY_MS,
 )
 
 __all__ = ["DEADLY", "Fleet", "endpoint_at", "fleet_that_knows"]
@@ -61,7 +61,7 @@
     def _member(self, name):
         state = QuarantineState(name, random.Random(name))
         state.take_nodes(self.names)
-        self.at(self.rng.randrange(TELL_EVERY_MS), self._tick, name, state)
+        self.at(self.rng.randrange(GOSSIP_INTERVAL_MS), self._tick, name, state)
         return Member(state)
 
     def at(self, after_ms, function, *arguments):
@@ -80,7 +80,7 @@
             return
         if not state.idle and not self.nodes[name].away:
             self.take(name, events.Tick())
-        self.at(TELL_EVERY_MS, self._tick, name, state)
+        self.at(GOSSIP_INTERVAL_MS, self._tick, name, state)
 
     def restart(self, name):
         """It knows nothing, and reads what the store has."""
