--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -45,12 +45,12 @@
     ENDS_TO_QUARANTINE,
     FORGET_EVERY_MS,
     FRESH_MS,
+    GOSSIP_FANOUT,
     MAX_SUSPICIONS_PER_MESSAGE,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
-    TELL_FANOUT,
     TELL_REST_MS,
 )
 from saffronworks.forwarding.starts import StartId
@@ -218,7 +218,7 @@
     """What is quarantined is passed on at once: until all know it, endpoints go on ending."""
     if not is_serious(news):
         return []
-    told = _tell_some(state, TELL_FANOUT, (news,), now_ms) if is_quarantined(news) else []
+    told = _tell_some(state, GOSSIP_FANOUT, (news,), now_ms) if is_quarantined(news) else []
     return [SuspicionChanged(news), *told, *_record(state, news)]
 
 
@@ -254,7 +254,7 @@
     newest = fresh[: MAX_SUSPICIONS_PER_MESSAGE // 2]
     others = [one for one in (*fresh, *state.table.quarantined()) if one not in newest]
     sample = state.rng.sample(others, min(len(others), MAX_SUSPICIONS_PER_MESSAGE // 2))
-    return _tell_some(state, TELL_FANOUT if fresh else 1, (*newest, *sample), now_ms)
+    return _tell_some(state, GOSSIP_FANOUT if fresh else 1, (*newest, *sample), now_ms)
 
 
 def _tell_some(
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -35,7 +35,7 @@
 # At this pace two of them are told what is new: 195 nodes, with 60 more gone, know it within 1.1 s
 # (ten plays), where three to five seconds are allowed.
 GOSSIP_INTERVAL_MS = 250
-TELL_FANOUT = 2
+GOSSIP_FANOUT = 2
 # What changed within this time is told each time, and what is quarantined at this pace for good: a
 # node that was cut off knew it within three seconds of its return in each of ten plays.
 FRESH_MS = 5000
