--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -46,12 +46,12 @@
     FORGET_EVERY_MS,
     FRESH_MS,
     GOSSIP_FANOUT,
+    IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS_PER_MESSAGE,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
-    TELL_REST_MS,
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.hashing import rank_members
@@ -248,7 +248,7 @@
     no one has to notice that it is back.
     """
     fresh = state.table.changed_since(now_ms - FRESH_MS)
-    if not fresh and now_ms - state.told_ms < TELL_REST_MS:
+    if not fresh and now_ms - state.told_ms < IDLE_GOSSIP_INTERVAL_MS:
         return []
     state.told_ms = now_ms
     newest = fresh[: MAX_SUSPICIONS_PER_MESSAGE // 2]
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -34,12 +34,12 @@
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
     FRESH_MS,
+    IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS,
     MAX_SUSPICIONS_PER_MESSAGE,
     REFUSED_PROBE_INTERVAL_MS,
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
-    TELL_REST_MS,
     TRIAL_AFTER_MS,
     TRIAL_SOON_MS,
 )
@@ -97,7 +97,7 @@
     told = tell_at(state, last_ms)
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
     told = tell_at(state, last_ms + FRESH_MS + 1)
-    most_bytes_s = len(codec.encode(told)) * 1000 / TELL_REST_MS
+    most_bytes_s = len(codec.encode(told)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
         most_bytes_s
     )
