--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -44,10 +44,10 @@
     CONTENT_OWNERS,
     ENDS_TO_QUARANTINE,
     FORGET_EVERY_MS,
-    FRESH_MS,
     GOSSIP_FANOUT,
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS_PER_MESSAGE,
+    RECENT_CHANGE_MS,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
     SILENT_PROBE_INTERVAL_MS,
@@ -247,7 +247,7 @@
     So a node that was cut off, or starts, knows what is quarantined within a second or two, and
     no one has to notice that it is back.
     """
-    fresh = state.table.changed_since(now_ms - FRESH_MS)
+    fresh = state.table.changed_since(now_ms - RECENT_CHANGE_MS)
     if not fresh and now_ms - state.told_ms < IDLE_GOSSIP_INTERVAL_MS:
         return []
     state.told_ms = now_ms
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -38,7 +38,7 @@
 GOSSIP_FANOUT = 2
 # What changed within this time is told each time, and what is quarantined at this pace for good: a
 # node that was cut off knew it within three seconds of its return in each of ten plays.
-FRESH_MS = 5000
+RECENT_CHANGE_MS = 5000
 IDLE_GOSSIP_INTERVAL_MS = 500
 # Contents in one message, 0.2 KB each; at rest half of them, so that a node tells 3 KB/s at most.
 MAX_SUSPICIONS_PER_MESSAGE = 16
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -33,10 +33,10 @@
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
-    FRESH_MS,
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS,
     MAX_SUSPICIONS_PER_MESSAGE,
+    RECENT_CHANGE_MS,
     REFUSED_PROBE_INTERVAL_MS,
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
@@ -96,7 +96,7 @@
     assert Admission.FREE not in judged
     told = tell_at(state, last_ms)
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
-    told = tell_at(state, last_ms + FRESH_MS + 1)
+    told = tell_at(state, last_ms + RECENT_CHANGE_MS + 1)
     most_bytes_s = len(codec.encode(told)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
         most_bytes_s
