--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -43,7 +43,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     CONTENT_OWNERS,
     ENDS_TO_QUARANTINE,
-    FORGET_EVERY_MS,
+    EXPIRY_INTERVAL_MS,
     GOSSIP_FANOUT,
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS_PER_MESSAGE,
@@ -230,7 +230,7 @@
 
 
 def _forget(state: QuarantineState, now_ms: int) -> list[Command]:
-    if now_ms - state.forgot_ms < FORGET_EVERY_MS:
+    if now_ms - state.forgot_ms < EXPIRY_INTERVAL_MS:
         return []
     state.forgot_ms = now_ms
     old = state.table.forget_old(now_ms)
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -27,7 +27,7 @@
 # One or two ends are forgotten after this long: runs beside them have long ended well.
 KEEP_SUSPECT_MS = 600_000
 # How often old entries are looked for; they are kept for minutes at least.
-FORGET_EVERY_MS = 5000
+EXPIRY_INTERVAL_MS = 5000
 # An end of an endpoint leaves 64 of them at most; one takes 0.5 KB.
 MAX_SUSPICIONS = 2048
 # Nodes that put together what others saw of one content: three, as two may be gone at once.
