--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     GOSSIP_INTERVAL_MS,
     READ_RECORDS_PAUSES_S,
-    RECORD_AGAIN_S,
+    RECORD_RETRY_S,
     RECORD_TRIES,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
@@ -190,14 +190,14 @@
         for _ in range(RECORD_TRIES):
             if await write(what):
                 return
-            await anyio.sleep(RECORD_AGAIN_S)
+            await anyio.sleep(RECORD_RETRY_S)
 
     async def _read_records(self) -> None:
         """What was quarantined before this node started."""
         for pause_s in READ_RECORDS_PAUSES_S:
             await anyio.sleep(pause_s)
             while (found := await self._records.list_all()) is None:
-                await anyio.sleep(RECORD_AGAIN_S)
+                await anyio.sleep(RECORD_RETRY_S)
             for suspicion in found:
                 self._take(events.RecordRead(suspicion))
 
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -47,5 +47,5 @@
 READ_RECORDS_PAUSES_S = (0.2, 4.0)
 # A write to the store is tried again after this pause, for half a minute: nodes know it anyway, the
 # store only has to before they all end.
-RECORD_AGAIN_S = 1.0
+RECORD_RETRY_S = 1.0
 RECORD_TRIES = 30
