--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -21,8 +21,8 @@
 from saffronworks.forwarding.quarantine.tuning import (
     GOSSIP_INTERVAL_MS,
     READ_RECORDS_PAUSES_S,
+    RECORD_ATTEMPTS,
     RECORD_RETRY_S,
-    RECORD_TRIES,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
@@ -187,7 +187,7 @@
         self, write: Callable[[_Written], Coroutine[Any, Any, bool]], what: _Written
     ) -> None:
         """Ask the store until it has answered, some times at most."""
-        for _ in range(RECORD_TRIES):
+        for _ in range(RECORD_ATTEMPTS):
             if await write(what):
                 return
             await anyio.sleep(RECORD_RETRY_S)
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -48,4 +48,4 @@
 # A write to the store is tried again after this pause, for half a minute: nodes know it anyway, the
 # store only has to before they all end.
 RECORD_RETRY_S = 1.0
-RECORD_TRIES = 30
+RECORD_ATTEMPTS = 30
