--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -20,8 +20,8 @@
 from saffronworks.forwarding.quarantine.suspicions import Admission, is_quarantined
 from saffronworks.forwarding.quarantine.tuning import (
     GOSSIP_INTERVAL_MS,
-    READ_RECORDS_PAUSES_S,
     RECORD_ATTEMPTS,
+    RECORD_READ_DELAYS_S,
     RECORD_RETRY_S,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
@@ -194,7 +194,7 @@
 
     async def _read_records(self) -> None:
         """What was quarantined before this node started."""
-        for pause_s in READ_RECORDS_PAUSES_S:
+        for pause_s in RECORD_READ_DELAYS_S:
             await anyio.sleep(pause_s)
             while (found := await self._records.list_all()) is None:
                 await anyio.sleep(RECORD_RETRY_S)
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -44,7 +44,7 @@
 MAX_SUSPICIONS_PER_MESSAGE = 16
 # A node reads the store's records of quarantined contents at its start, and once more for what was
 # just being written then; both by answers that may be seconds old, which cost a tenth.
-READ_RECORDS_PAUSES_S = (0.2, 4.0)
+RECORD_READ_DELAYS_S = (0.2, 4.0)
 # A write to the store is tried again after this pause, for half a minute: nodes know it anyway, the
 # store only has to before they all end.
 RECORD_RETRY_S = 1.0
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.quarantine.suspicions import Admission
 from saffronworks.forwarding.quarantine.tuning import (
     GOSSIP_INTERVAL_MS,
-    READ_RECORDS_PAUSES_S,
+    RECORD_READ_DELAYS_S,
 )
 
 __all__ = ["DEADLY", "Fleet", "endpoint_at", "fleet_that_knows"]
@@ -85,7 +85,7 @@
     def restart(self, name):
         """It knows nothing, and reads what the store has."""
         self.nodes[name] = self._member(name)
-        for pause_s in READ_RECORDS_PAUSES_S:
+        for pause_s in RECORD_READ_DELAYS_S:
             self.at(int(pause_s * 1000), self._read, name)
 
     def _read(self, name):
