--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -13,13 +13,13 @@
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.quarantine.messages import Suspicion
 from saffronworks.forwarding.quarantine.tuning import (
+    EARLY_TRIAL_AFTER_MS,
     ENDS_TO_QUARANTINE,
     KEEP_QUARANTINED_MS,
     KEEP_SUSPECT_MS,
     MAX_ENDED_STARTS,
     MAX_SUSPICIONS,
     TRIAL_AFTER_MS,
-    TRIAL_SOON_MS,
 )
 from saffronworks.forwarding.starts import StartId
 
@@ -106,7 +106,7 @@
         if entry is None or not is_quarantined(entry.suspicion):
             return Admission.FREE
         quarantined_ms, trials = now_ms - entry.changed_ms, entry.suspicion.trials
-        if quarantined_ms < TRIAL_SOON_MS:
+        if quarantined_ms < EARLY_TRIAL_AFTER_MS:
             return Admission.REFUSED
         if self._shares_ends(entry.suspicion):
             due = trials == 0 or quarantined_ms >= TRIAL_AFTER_MS
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -21,7 +21,7 @@
 # soon, and again each time that the longer span is over. Beside a deadly content, 5 of 100 that it
 # struck were quarantined where four endpoints run 64 requests each (a quarter in one of ten plays),
 # none where 16 run 8.
-TRIAL_SOON_MS = 3000
+EARLY_TRIAL_AFTER_MS = 3000
 # The quarantine ends after a day, when callers' programs have been mended or given up.
 KEEP_QUARANTINED_MS = 86_400_000
 # One or two ends are forgotten after this long: runs beside them have long ended well.
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -32,6 +32,7 @@
 from saffronworks.forwarding.quarantine.service import Quarantine
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable
 from saffronworks.forwarding.quarantine.tuning import (
+    EARLY_TRIAL_AFTER_MS,
     ENDS_TO_QUARANTINE,
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS,
@@ -41,7 +42,6 @@
     SILENT_PROBE_INTERVAL_MS,
     SILENT_PROBES,
     TRIAL_AFTER_MS,
-    TRIAL_SOON_MS,
 )
 from saffronworks.forwarding.runners import NodeState
 from saffronworks.forwarding.store_revisions import StoreEpoch
@@ -258,8 +258,8 @@
     state.take_nodes(["n1"])
     for content in ("beside", DEADLY):
         ended(state, content, 1, 2, 3)
-    assert state.admission("beside", TRIAL_SOON_MS - 1) is Admission.REFUSED
-    assert state.admission("beside", TRIAL_SOON_MS) is Admission.TRIAL
+    assert state.admission("beside", EARLY_TRIAL_AFTER_MS - 1) is Admission.REFUSED
+    assert state.admission("beside", EARLY_TRIAL_AFTER_MS) is Admission.TRIAL
 
 
 @then("a owner lets it through once after ten minutes, to one endpoint, and no other node does")
@@ -287,7 +287,7 @@
     for content in contents:
         ended(state, content, *rng.sample(range(1, 13), 3))
     ended(state, DEADLY, 1, 2, 50)
-    now_ms = TRIAL_SOON_MS
+    now_ms = EARLY_TRIAL_AFTER_MS
     for _ in range(3):
         admissions = {state.admission(content, now_ms) for content in contents}
         assert admissions == {Admission.TRIAL}, admissions
@@ -295,7 +295,9 @@
         for content in contents:
             step(state, events.TrialStarted(content), now_ms)
             ended(state, content, rng.randint(1, 12), now_ms=now_ms)
-        admissions = {state.admission(content, now_ms + TRIAL_SOON_MS) for content in contents}
+        admissions = {
+            state.admission(content, now_ms + EARLY_TRIAL_AFTER_MS) for content in contents
+        }
         assert admissions == {Admission.REFUSED}, admissions
         now_ms += TRIAL_AFTER_MS
         # Had its own trial meanwhile, and ended one more.
