--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -37,8 +37,8 @@
 from saffronworks.forwarding.quarantine.suspicions import (
     Admission,
     SuspicionTable,
+    is_gossiped,
     is_quarantined,
-    is_serious,
 )
 from saffronworks.forwarding.quarantine.tuning import (
     CONTENT_OWNERS,
@@ -216,7 +216,7 @@
 
 def _settle(state: QuarantineState, news: Suspicion, now_ms: int) -> list[Command]:
     """What is quarantined is passed on at once: until all know it, endpoints go on ending."""
-    if not is_serious(news):
+    if not is_gossiped(news):
         return []
     told = _tell_some(state, GOSSIP_FANOUT, (news,), now_ms) if is_quarantined(news) else []
     return [SuspicionChanged(news), *told, *_record(state, news)]
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -23,7 +23,7 @@
 )
 from saffronworks.forwarding.starts import StartId
 
-__all__ = ["SuspicionTable", "Admission", "is_quarantined", "is_serious"]
+__all__ = ["SuspicionTable", "Admission", "is_quarantined", "is_gossiped"]
 
 
 class Admission(enum.Enum):
@@ -46,7 +46,7 @@
     return len(suspicion.ended) >= ENDS_TO_QUARANTINE and not suspicion.ran_well
 
 
-def is_serious(suspicion: Suspicion) -> bool:
+def is_gossiped(suspicion: Suspicion) -> bool:
     """Whether all nodes are to know it: one end more, or a good run, decides it."""
     return len(suspicion.ended) >= ENDS_TO_QUARANTINE - 1
 
@@ -133,7 +133,7 @@
         fresh = [
             entry
             for entry in self._entries.values()
-            if entry.changed_ms >= from_ms and is_serious(entry.suspicion)
+            if entry.changed_ms >= from_ms and is_gossiped(entry.suspicion)
         ]
         fresh.sort(key=lambda entry: entry.changed_ms, reverse=True)
         return [entry.suspicion for entry in fresh]
