--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -132,7 +132,7 @@
         case ProbeFinished():
             return _take_look(state, event, now_ms)
         case RunSucceeded(content):
-            return _share(state, state.table.add_good_run(content, now_ms), now_ms)
+            return _share(state, state.table.add_success(content, now_ms), now_ms)
         case TrialStarted(content):
             return _share(state, state.table.take_trial(content, now_ms), now_ms)
         case RecordRead(suspicion):
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -69,7 +69,7 @@
         """An endpoint ended while it worked on the content. What is known now, None if no news."""
         return self.merge(Suspicion(content, (instance,)), now_ms)
 
-    def add_good_run(self, content: ContentId, now_ms: int) -> Suspicion | None:
+    def add_success(self, content: ContentId, now_ms: int) -> Suspicion | None:
         """A run of it came to a whole answer. What is known now, None if no news."""
         if content not in self._entries:
             return None
--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -107,7 +107,7 @@
                 continue
             for run in [run for run in runs if run.ends_ms <= now_ms]:
                 runs.remove(run)
-                self.table.add_good_run(run.content, now_ms)
+                self.table.add_success(run.content, now_ms)
 
 
 def play_service(endpoints, runs_each, seed, habits):
