--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -134,7 +134,7 @@
         case RunSucceeded(content):
             return _share(state, state.table.add_success(content, now_ms), now_ms)
         case TrialStarted(content):
-            return _share(state, state.table.take_trial(content, now_ms), now_ms)
+            return _share(state, state.table.add_trial(content, now_ms), now_ms)
         case RecordRead(suspicion):
             return _hear(state, suspicion, now_ms)
         case RecordsLost():
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -75,7 +75,7 @@
             return None
         return self.merge(Suspicion(content, (), ran_well=True), now_ms)
 
-    def take_trial(self, content: ContentId, now_ms: int) -> Suspicion | None:
+    def add_trial(self, content: ContentId, now_ms: int) -> Suspicion | None:
         """A trial of a quarantined content begins."""
         known = self.find(content)
         return (
