--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -233,7 +233,7 @@
     if now_ms - state.forgot_ms < EXPIRY_INTERVAL_MS:
         return []
     state.forgot_ms = now_ms
-    old = state.table.forget_old(now_ms)
+    old = state.table.expire(now_ms)
     return [
         RemoveRecord(suspicion.content)
         for suspicion in old
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -151,7 +151,7 @@
         """What is known of every content."""
         return [entry.suspicion for entry in self._entries.values()]
 
-    def forget_old(self, now_ms: int) -> list[Suspicion]:
+    def expire(self, now_ms: int) -> list[Suspicion]:
         """Drop what is long over; returns it."""
         old = [
             entry.suspicion
