--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -269,5 +269,5 @@
 def _tell(
     state: QuarantineState, nodes: tuple[str, ...], suspicions: Iterable[Suspicion], now_ms: int
 ) -> SendNews:
-    aged = tuple(state.table.aged(suspicion, now_ms) for suspicion in suspicions)
-    return SendNews(nodes, SuspicionNews(state.own, aged))
+    with_age = tuple(state.table.with_age(suspicion, now_ms) for suspicion in suspicions)
+    return SendNews(nodes, SuspicionNews(state.own, with_age))
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -138,7 +138,7 @@
         fresh.sort(key=lambda entry: entry.changed_ms, reverse=True)
         return [entry.suspicion for entry in fresh]
 
-    def aged(self, suspicion: Suspicion, now_ms: int) -> Suspicion:
+    def with_age(self, suspicion: Suspicion, now_ms: int) -> Suspicion:
         """The same with its age, to be told."""
         entry = self._entries.get(suspicion.content)
         return attrs.evolve(suspicion, age_ms=now_ms - entry.changed_ms if entry else 0)
