--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -209,7 +209,7 @@
             body.leave()
         await body.finish()
         if self._head.success:
-            node.quarantine.note_whole(job.request, self._exchange.framed)
+            node.quarantine.record_success(job.request, self._exchange.framed)
         arrived_ms = job.request.arrived_ms
         node.figures.count("answered", job.route.name)
         node.figures.record(job.route.name, self._first_ms - arrived_ms, node.now_ms() - arrived_ms)
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -120,7 +120,7 @@
         leaving = known is None or known.draining
         self._take(events.RunFailed(request.content, endpoint, broken.cause, leaving))
 
-    def note_whole(self, request: CallerRequest, framed: bool) -> None:
+    def record_success(self, request: CallerRequest, framed: bool) -> None:
         """A success came whole. Only if its endpoint told the end: a close may be its own end."""
         if framed and not self._state.idle:
             self._take(events.RunSucceeded(request.content))
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -90,7 +90,7 @@
         finally:
             self._body.leave()
         await self._body.finish()
-        self._node.quarantine.note_whole(self._job.request, run.exchange.framed)
+        self._node.quarantine.record_success(self._job.request, run.exchange.framed)
         self._log_end(run)
 
     def _note(self, ids: tuple[int, ...]) -> None:
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -219,9 +219,9 @@
         "n1", Directory(), Mock(), Mock(), random.Random(1), StoreEpoch(), lambda: 10
     )
     ended(quarantine._state, request.content, 1, 2, 3)
-    quarantine.note_whole(request, framed=False)
+    quarantine.record_success(request, framed=False)
     assert quarantine.blocks(request)
-    quarantine.note_whole(request, framed=True)
+    quarantine.record_success(request, framed=True)
     assert not quarantine.blocks(request)
 
 
