--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -246,7 +246,7 @@
         """Before the first send to an endpoint, so that two owners don't begin at once."""
         if self._job.on_trial and not self._trial_began:
             self._trial_began = True
-            self._node.quarantine.begin_trial(self._job.request)
+            self._node.quarantine.record_trial(self._job.request)
 
     async def _open_stream(self, endpoint: ServiceEndpoint) -> events.Event:
         node, state = self._node, self._state
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -126,7 +126,7 @@
             self._release_permit()
         self._endpoint = endpoint
         if self._job.on_trial and self._state.sends == 1:
-            node.quarantine.begin_trial(self._job.request)
+            node.quarantine.record_trial(self._job.request)
         load = node.loads.of(endpoint.instance)
         began_ms = node.now_ms()
         load.circuit.take_trial(began_ms)
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -102,7 +102,7 @@
         admission = self._state.table.admission(request.content, self._now_ms())
         return admission is Admission.REFUSED or (admission is Admission.TRIAL and not on_trial)
 
-    def begin_trial(self, request: CallerRequest) -> None:
+    def record_trial(self, request: CallerRequest) -> None:
         """A request on trial is sent to its endpoint now: no other one is."""
         self._take(events.TrialStarted(request.content))
 
