--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -83,9 +83,9 @@
     def admit(self, request: CallerRequest) -> Admission:
         """Whether a request may be sent to endpoints."""
         if self._state.idle:
-            return Admission.FREE
+            return Admission.ALLOWED
         admission = self._state.admission(request.content, self._now_ms())
-        if admission is not Admission.FREE:
+        if admission is not Admission.ALLOWED:
             logger.info(
                 "event=content_admission request=%s content=%s admission=%s known_contents=%d",
                 request.request_id,
--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -29,7 +29,7 @@
 class Admission(enum.Enum):
     """Whether a request may be sent to endpoints; a trial may be sent to one."""
 
-    FREE = "free"
+    ALLOWED = "free"
     TRIAL = "trial"
     REFUSED = "refused"
 
@@ -104,7 +104,7 @@
         """Whether a request of this content may be sent now."""
         entry = self._entries.get(content)
         if entry is None or not is_quarantined(entry.suspicion):
-            return Admission.FREE
+            return Admission.ALLOWED
         quarantined_ms, trials = now_ms - entry.changed_ms, entry.suspicion.trials
         if quarantined_ms < EARLY_TRIAL_AFTER_MS:
             return Admission.REFUSED
--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -65,7 +65,7 @@
 
     def place(self, run, now_ms):
         up = [i for i, until_ms in enumerate(self.down_until_ms) if until_ms <= now_ms]
-        if up and self.table.admission(run.content, now_ms) is Admission.FREE:
+        if up and self.table.admission(run.content, now_ms) is Admission.ALLOWED:
             fewest = min(up, key=lambda i: (len(self.runs[i]), self.rng.random()))
             self.runs[fewest].append(run)
 
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -93,7 +93,7 @@
     assert len(state.table) <= MAX_SUSPICIONS
     last_ms = 100 + 3 * MAX_SUSPICIONS
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
-    assert Admission.FREE not in judged
+    assert Admission.ALLOWED not in judged
     told = tell_at(state, last_ms)
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
     told = tell_at(state, last_ms + RECENT_CHANGE_MS + 1)
@@ -204,7 +204,7 @@
     ended(early, DEADLY, 1, 2)
     step(early, events.RunSucceeded(DEADLY), 10)
     ended(early, DEADLY, 3, 4)
-    assert early.admission(DEADLY, 20) is Admission.FREE
+    assert early.admission(DEADLY, 20) is Admission.ALLOWED
     fleet = fleet_that_knows()
     assert fleet.knowing() == 7 and DEADLY in fleet.stored
     fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
@@ -326,7 +326,7 @@
     step(freed, events.TrialStarted(DEADLY), TRIAL_AFTER_MS)
     assert freed.admission(DEADLY, TRIAL_AFTER_MS + 1) is Admission.REFUSED
     step(freed, events.RunSucceeded(DEADLY), TRIAL_AFTER_MS + 2)
-    assert freed.admission(DEADLY, TRIAL_AFTER_MS + 3) is Admission.FREE
+    assert freed.admission(DEADLY, TRIAL_AFTER_MS + 3) is Admission.ALLOWED
 
 
 VIEWS = st.builds(
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -123,7 +123,7 @@
         """A try of it arrives at a node."""
         name = name or self.rng.choice(list(self.nodes))
         match self.nodes[name].state.admission(DEADLY, self.now_ms):
-            case Admission.FREE:
+            case Admission.ALLOWED:
                 self._run(name, MOST_RUNS)
             case Admission.TRIAL:
                 self.take(name, events.TrialStarted(DEADLY))
@@ -138,7 +138,7 @@
         endpoint = endpoint_at(next(self._endpoints))
         self.take(name, events.RunFailed(DEADLY, endpoint, BreakCause.CLOSED))
         admission = self.nodes[name].state.table.admission(DEADLY, self.now_ms)
-        if runs_left and admission is Admission.FREE:
+        if runs_left and admission is Admission.ALLOWED:
             self._run(name, runs_left)
 
     def come_again(self, every_ms, until_ms):
--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -188,7 +188,7 @@
         now_ms=monotonic_ms,
         spawn=Mock(),
         memory=Mock(own_address="n", ask=AsyncMock(return_value=None)),
-        quarantine=Mock(blocks=lambda *_: False, admit=lambda _: Admission.FREE),
+        quarantine=Mock(blocks=lambda *_: False, admit=lambda _: Admission.ALLOWED),
         identities=Identities(lambda: True),
         quotas=Mock(admit=AsyncMock(return_value=NOT_COUNTED)),
         limits=limits,
