--- a/saffronworks/forwarding/endpoint_limits/messages.py
+++ b/saffronworks/forwarding/endpoint_limits/messages.py
@@ -5,7 +5,7 @@
 from saffronworks.forwarding.starts import StartId
 
 __all__ = [
-    "NODES_HEAR",
+    "PEER_MESSAGES",
     "HeardLimit",
     "LimitNews",
     "LimitsWanted",
@@ -71,4 +71,4 @@
 
 
 # What nodes tell each other, as entry nodes, as holders and as neighbours.
-NODES_HEAR = (SendAsk, SendAnswer, SendGivenBack, LimitNews, LimitsWanted)
+PEER_MESSAGES = (SendAsk, SendAnswer, SendGivenBack, LimitNews, LimitsWanted)
--- a/saffronworks/forwarding/quotas/messages.py
+++ b/saffronworks/forwarding/quotas/messages.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-__all__ = ["NODES_HEAR", "QuotaAnswer", "QuotaAsk", "QuotaGivenBack", "QuotaRunAgain"]
+__all__ = ["PEER_MESSAGES", "QuotaAnswer", "QuotaAsk", "QuotaGivenBack", "QuotaRunAgain"]
 
 
 @attrs.frozen
@@ -51,4 +51,4 @@
 
 
 # What nodes tell each other, as entry nodes and as holders.
-NODES_HEAR = (QuotaAsk, QuotaAnswer, QuotaRunAgain, QuotaGivenBack)
+PEER_MESSAGES = (QuotaAsk, QuotaAnswer, QuotaRunAgain, QuotaGivenBack)
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -232,8 +232,8 @@
         self._kernel.register(self._peers)
         self._kernel.register(self._news, StoreNews)
         self._kernel.register(self._quarantine, SuspicionNews)
-        self._kernel.register(self._quotas, *quota_messages.NODES_HEAR)
-        self._kernel.register(self._limits, *limit_messages.NODES_HEAR)
+        self._kernel.register(self._quotas, *quota_messages.PEER_MESSAGES)
+        self._kernel.register(self._limits, *limit_messages.PEER_MESSAGES)
         self._kernel.register(planner, *planning_messages.PLANNER_HEARS)
         self._kernel.register(self._memory, *planning_messages.ENTRY_HEARS)
 
