--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.shares.asks import Ask
 from saffronworks.forwarding.starts import StartId
 
-__all__ = ["FREE", "NOT_LIMITED", "Limited", "NoPermit", "Permit"]
+__all__ = ["UNCOUNTED_PERMIT", "NOT_LIMITED", "Limited", "NoPermit", "Permit"]
 
 
 @attrs.frozen
@@ -23,7 +23,7 @@
 
 
 # For an endpoint that names no limit.
-FREE = Permit()
+UNCOUNTED_PERMIT = Permit()
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -17,8 +17,8 @@
     SendGivenBack,
 )
 from saffronworks.forwarding.endpoint_limits.permits import (
-    FREE,
     NOT_LIMITED,
+    UNCOUNTED_PERMIT,
     Limited,
     NoPermit,
     Permit,
@@ -177,7 +177,7 @@
         instance, now_ms = endpoint.instance, self._now_ms()
         per_s = self._table.find(instance)
         if per_s is None:
-            return FREE
+            return UNCOUNTED_PERMIT
         closed_ms = self._backoff.remaining_ms(instance, now_ms)
         if closed_ms:
             return NoPermit(closed_ms)
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding import generation_events as events
 from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.directory import ServiceEndpoint
-from saffronworks.forwarding.endpoint_limits.permits import FREE, NoPermit
+from saffronworks.forwarding.endpoint_limits.permits import UNCOUNTED_PERMIT, NoPermit
 from saffronworks.forwarding.loads import EndpointLoad
 from saffronworks.forwarding.messages import KvHold, NotExecuted
 from saffronworks.forwarding.planning.client import RunOwner, RunSize
@@ -108,7 +108,7 @@
             self.node.figures.count_send("hold", "limited")
             return events.HoldFailed(endpoint.instance, broken=False)
         try:
-            hold = await self._take_beside_headroom(command, limited=permit is not FREE)
+            hold = await self._take_beside_headroom(command, limited=permit is not UNCOUNTED_PERMIT)
         except Break as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -5,7 +5,7 @@
 from saffronworks.forwarding import plain_core
 from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import ServiceEndpoint
-from saffronworks.forwarding.endpoint_limits.permits import FREE, Permit
+from saffronworks.forwarding.endpoint_limits.permits import UNCOUNTED_PERMIT, Permit
 from saffronworks.forwarding.messages import AnswerHead, Begin, Executed, Refuse
 from saffronworks.forwarding.plain_core import (
     AcquirePermit,
@@ -44,7 +44,7 @@
         self._exchange: Exchange | None = None
         self._endpoint: ServiceEndpoint | None = None
         # Of a send that is about to begin.
-        self._permit = FREE
+        self._permit = UNCOUNTED_PERMIT
         self._head: AnswerHead | None = None
         self._start_of_body = b""
         self._body_whole = False
@@ -91,7 +91,7 @@
     def _release_permit(self) -> None:
         """What was sent, even if the endpoint turned it away, has used its permit."""
         self._node.limits.release_permit(self._permit)
-        self._permit = FREE
+        self._permit = UNCOUNTED_PERMIT
 
     def _decide(self, event: plain_core.Event) -> plain_core.Command:
         node, now_ms = self._node, self._node.now_ms()
@@ -142,7 +142,7 @@
             return Broken(endpoint.instance, broken.sent, broken.cause is BreakCause.SILENT)
         finally:
             load.outstanding -= 1
-            self._permit = FREE
+            self._permit = UNCOUNTED_PERMIT
         if head.executed is Executed.NO:
             self._job.runs.take_back_run()
         took_ms = node.now_ms() - began_ms
