--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -26,10 +26,10 @@
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
     ASKED_AT_START,
+    GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
     MOST_TOLD,
-    TELL_EVERY_MS,
     TELL_FANOUT,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
@@ -262,7 +262,7 @@
             self._tell_limits(self._neighbours.choose(TELL_FANOUT), self._pending.pop_batch())
             if not self._pending:
                 self._changed = anyio.Event()
-            await anyio.sleep(TELL_EVERY_MS / 1000)
+            await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
 
     def _tell_limits(self, nodes: Iterable[str], instances: Iterable[StartId]) -> None:
         heard = [told for one in instances if (told := self._told_of(one)) is not None]
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -12,9 +12,9 @@
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
     ASKED_AT_START,
+    GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
-    TELL_EVERY_MS,
     TELL_FANOUT,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
@@ -65,7 +65,7 @@
         self.nodes = {name: self._start(name) for name in self.names}
         self.shares = FleetShares(self, LIMIT_TOLERANCE, self._limit_of, in_turn=False)
         for name in self.live:
-            self.at(self.rng.randrange(TELL_EVERY_MS), self._tell, name)
+            self.at(self.rng.randrange(GOSSIP_INTERVAL_MS), self._tell, name)
 
     def _start(self, name):
         neighbours = Neighbours(name, self.rng)
@@ -98,7 +98,7 @@
         self.nodes[name].pending.add(ENDPOINT)
 
     def _tell(self, name):
-        self.at(TELL_EVERY_MS, self._tell, name)
+        self.at(GOSSIP_INTERVAL_MS, self._tell, name)
         node = self.nodes[name]
         if name in self.away or not node.pending.pop_batch():
             return
