--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -26,11 +26,11 @@
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
     ASKED_AT_START,
+    GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
     MOST_TOLD,
-    TELL_FANOUT,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
 from saffronworks.forwarding.neighbours import Neighbours
@@ -259,7 +259,7 @@
         """Publish changes to a few peers, which would send before they know a limit."""
         while True:
             await self._changed.wait()
-            self._tell_limits(self._neighbours.choose(TELL_FANOUT), self._pending.pop_batch())
+            self._tell_limits(self._neighbours.choose(GOSSIP_FANOUT), self._pending.pop_batch())
             if not self._pending:
                 self._changed = anyio.Event()
             await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -12,10 +12,10 @@
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
     ASKED_AT_START,
+    GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
-    TELL_FANOUT,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
 from saffronworks.forwarding.neighbours import Neighbours
@@ -102,7 +102,7 @@
         node = self.nodes[name]
         if name in self.away or not node.pending.pop_batch():
             return
-        for other in node.neighbours.choose(TELL_FANOUT):
+        for other in node.neighbours.choose(GOSSIP_FANOUT):
             self.send(name, other, self._hear_news, other, node.table.entry(ENDPOINT))
 
     def _hear_news(self, name, heard):
