--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -19,7 +19,7 @@
 # What a node has learnt goes to two others at this pace, three times; they tell it on.
 GOSSIP_INTERVAL_MS = 100
 GOSSIP_FANOUT = 2
-TELL_TIMES = 3
+GOSSIP_REPEATS = 3
 # A node that has just started asks so many others what they know, as it would send to each limited
 # endpoint once before that names its limit.
 ASKED_AT_START = 3
--- a/saffronworks/forwarding/endpoint_limits/updates.py
+++ b/saffronworks/forwarding/endpoint_limits/updates.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.endpoint_limits.tuning import MOST_TOLD, TELL_TIMES
+from saffronworks.forwarding.endpoint_limits.tuning import GOSSIP_REPEATS, MOST_TOLD
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["PendingUpdates"]
@@ -21,7 +21,7 @@
 
     def add(self, instance: StartId) -> None:
         """The limit of an endpoint has changed."""
-        self._left[instance] = TELL_TIMES
+        self._left[instance] = GOSSIP_REPEATS
 
     def pop_batch(self) -> list[StartId]:
         """The endpoints of the next message."""
