--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -25,12 +25,12 @@
 )
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
-    ASKED_AT_START,
     GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
     MOST_TOLD,
+    PEERS_QUERIED_AT_START,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
 from saffronworks.forwarding.neighbours import Neighbours
@@ -93,7 +93,7 @@
         self.bound.update_nodes(cores)
         self._neighbours.take(cores)
         self._backoff.nodes = max(1, len(cores))
-        for node in self._neighbours.choose(ASKED_AT_START) if starts else ():
+        for node in self._neighbours.choose(PEERS_QUERIED_AT_START) if starts else ():
             self._post(node, LimitsWanted(self._own_address))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -22,6 +22,6 @@
 GOSSIP_REPEATS = 3
 # A node that has just started asks so many others what they know, as it would send to each limited
 # endpoint once before that names its limit.
-ASKED_AT_START = 3
+PEERS_QUERIED_AT_START = 3
 # Limits in one message, 0.06 KB each.
 MOST_TOLD = 64
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -11,11 +11,11 @@
 from saffronworks.forwarding.endpoint_limits.backoff import LimitBackoff
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import (
-    ASKED_AT_START,
     GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
+    PEERS_QUERIED_AT_START,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
 from saffronworks.forwarding.neighbours import Neighbours
@@ -75,7 +75,7 @@
     def restart(self, name):
         self.nodes[name] = self._start(name)
         self.shares.restart(name)
-        for other in self.nodes[name].neighbours.choose(ASKED_AT_START):
+        for other in self.nodes[name].neighbours.choose(PEERS_QUERIED_AT_START):
             self.send(name, other, self._answer_start, other, name)
 
     def _answer_start(self, name, asker):
