--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -29,7 +29,7 @@
     GOSSIP_INTERVAL_MS,
     LEAST_PER_S,
     LIMIT_TOLERANCE,
-    MOST_TOLD,
+    MAX_LIMITS_PER_MESSAGE,
     PEERS_QUERIED_AT_START,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
@@ -233,7 +233,7 @@
                 for heard in limits:
                     self._on_update(heard)
             case LimitsWanted(reply_to):
-                self._tell_limits((reply_to,), self._table.limited()[:MOST_TOLD])
+                self._tell_limits((reply_to,), self._table.limited()[:MAX_LIMITS_PER_MESSAGE])
 
     def _tell(self, node: str, told: Told) -> None:
         match told:
--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -24,4 +24,4 @@
 # endpoint once before that names its limit.
 PEERS_QUERIED_AT_START = 3
 # Limits in one message, 0.06 KB each.
-MOST_TOLD = 64
+MAX_LIMITS_PER_MESSAGE = 64
--- a/saffronworks/forwarding/endpoint_limits/updates.py
+++ b/saffronworks/forwarding/endpoint_limits/updates.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.endpoint_limits.tuning import GOSSIP_REPEATS, MOST_TOLD
+from saffronworks.forwarding.endpoint_limits.tuning import GOSSIP_REPEATS, MAX_LIMITS_PER_MESSAGE
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["PendingUpdates"]
@@ -25,7 +25,7 @@
 
     def pop_batch(self) -> list[StartId]:
         """The endpoints of the next message."""
-        chosen = list(self._left)[:MOST_TOLD]
+        chosen = list(self._left)[:MAX_LIMITS_PER_MESSAGE]
         for instance in chosen:
             self._left[instance] -= 1
             if not self._left[instance]:
