--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -27,9 +27,9 @@
 from saffronworks.forwarding.endpoint_limits.tuning import (
     GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
-    LEAST_PER_S,
     LIMIT_TOLERANCE,
     MAX_LIMITS_PER_MESSAGE,
+    MIN_PER_S,
     PEERS_QUERIED_AT_START,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
@@ -213,7 +213,7 @@
         named = [known] if known is not None else []
         if isinstance(event, Ask):
             named.append(event.limit.per_s)
-        return Limit(max(LEAST_PER_S, min(named)), 0.0) if named else None
+        return Limit(max(MIN_PER_S, min(named)), 0.0) if named else None
 
     # Messages.
 
--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -6,7 +6,7 @@
 LIMIT_TOLERANCE = Tolerance(window_ms=4000, overage=0.5, slack=5.0)
 # An endpoint that takes less, or nothing at all, still gets this much, as only an answer to a
 # request can tell that its need is over. It is within what is tolerated.
-LEAST_PER_S = 0.25
+MIN_PER_S = 0.25
 # That a limit has ended is remembered for so long, so that older news of it doesn't bring it back.
 KEEP_ENDED_MS = 10_000
 # After a rejected ask a node backs off until there is room, and for a random part of a span. The
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -13,8 +13,8 @@
 from saffronworks.forwarding.endpoint_limits.tuning import (
     GOSSIP_FANOUT,
     GOSSIP_INTERVAL_MS,
-    LEAST_PER_S,
     LIMIT_TOLERANCE,
+    MIN_PER_S,
     PEERS_QUERIED_AT_START,
 )
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
@@ -88,9 +88,9 @@
 
     def _limit_of(self, name, event):
         known = self.nodes[name].table.find(event.subject)
-        asked = event.limit.per_s if isinstance(event, Ask) else LEAST_PER_S
+        asked = event.limit.per_s if isinstance(event, Ask) else MIN_PER_S
         named = asked if known is None else min(known, asked)
-        return Limit(max(LEAST_PER_S, named), 0.0)
+        return Limit(max(MIN_PER_S, named), 0.0)
 
     # What nodes tell each other.
 
