--- a/saffronworks/forwarding/endpoint_limits/table.py
+++ b/saffronworks/forwarding/endpoint_limits/table.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.endpoint_limits.tuning import KEEP_ENDED_MS
+from saffronworks.forwarding.endpoint_limits.tuning import ENDED_RETENTION_MS
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["LimitTable", "AdvertisedLimit", "KnownLimit"]
@@ -82,6 +82,6 @@
     def forget_all_but(self, instances: Collection[StartId], now_ms: int) -> None:
         """Drop limits of removed endpoints, and those that ended long ago."""
         for instance, known in list(self._known.items()):
-            ended = known.per_s is None and now_ms - known.observed_ms >= KEEP_ENDED_MS
+            ended = known.per_s is None and now_ms - known.observed_ms >= ENDED_RETENTION_MS
             if instance not in instances or ended:
                 del self._known[instance]
--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -8,7 +8,7 @@
 # request can tell that its need is over. It is within what is tolerated.
 MIN_PER_S = 0.25
 # That a limit has ended is remembered for so long, so that older news of it doesn't bring it back.
-KEEP_ENDED_MS = 10_000
+ENDED_RETENTION_MS = 10_000
 # After a rejected ask a node backs off until there is room, and for a random part of a span. The
 # span begins with so much for each node of the fleet, grows with each rejection and shrinks with
 # each permit, so that about half of the asks succeed, whatever the number of nodes and callers.
--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.connections import RawHead
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
-from saffronworks.forwarding.endpoint_limits.tuning import KEEP_ENDED_MS
+from saffronworks.forwarding.endpoint_limits.tuning import ENDED_RETENTION_MS
 from saffronworks.forwarding.generation_events import (
     AskPlanner,
     HoldTaken,
@@ -319,7 +319,7 @@
     table.record_answer("b", AdvertisedLimit(None, 20), 21)
     table.forget_all_but({"a", "b"}, 22)
     assert [table.entry(one) is not None for one in "abc"] == [True, True, False]
-    table.forget_all_but({"a", "b"}, 20 + KEEP_ENDED_MS)
+    table.forget_all_but({"a", "b"}, 20 + ENDED_RETENTION_MS)
     assert [table.entry(one) is not None for one in "abc"] == [True, False, False]
 
 
