--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -90,12 +90,12 @@
         """
         limited = self._limits.among(endpoints)
         blocks = {
-            instance: Block(BlockReason.RATE_LIMITED, closed_ms)
-            for instance, closed_ms in limited.closed_ms.items()
+            instance: Block(BlockReason.RATE_LIMITED, backoff_ms)
+            for instance, backoff_ms in limited.backoff_ms.items()
         }
         if len(self._directory.advertised):
             blocks |= self._advertised_blocks({endpoint.instance for endpoint in endpoints})
-        return Eligibility(blocks, limited.named)
+        return Eligibility(blocks, limited.limited)
 
     def _advertised_blocks(self, candidates: Set[StartId]) -> dict[StartId, Block]:
         now_ms, advertised = self._now_ms(), self._directory.advertised
--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -37,11 +37,11 @@
 class Limited:
     """Which of a service's endpoints name a limit, and which of these are left alone for now.
 
-    `closed_ms` has for how long, by endpoint.
+    `backoff_ms` has for how long, by endpoint.
     """
 
-    named: Set[StartId] = frozenset()
-    closed_ms: Mapping[StartId, int] = attrs.Factory(dict)
+    limited: Set[StartId] = frozenset()
+    backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
 
 
 NOT_LIMITED = Limited()
--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -178,28 +178,28 @@
         per_s = self._table.find(instance)
         if per_s is None:
             return UNCOUNTED_PERMIT
-        closed_ms = self._backoff.remaining_ms(instance, now_ms)
-        if closed_ms:
-            return NoPermit(closed_ms)
+        backoff_ms = self._backoff.remaining_ms(instance, now_ms)
+        if backoff_ms:
+            return NoPermit(backoff_ms)
         ask = self.bound.make_ask(instance, calls, Limit(per_s, 0.0))
         command = await self.bound.settle(ask, lambda node: _log_silent(request_id, ask, node))
         if isinstance(command, Admitted):
             self._backoff.record_permit(instance)
             return Permit(ask, command.holder)
         room_after_ms = command.retry_after_ms if isinstance(command, Refused) else 0
-        closed_ms = self._backoff.record_rejection(instance, room_after_ms, self._now_ms())
+        backoff_ms = self._backoff.record_rejection(instance, room_after_ms, self._now_ms())
         logger.info(
-            "event=send_refused request=%s endpoint=%s per_s=%s do=%s closed_ms=%d holders=%d "
+            "event=send_refused request=%s endpoint=%s per_s=%s do=%s backoff_ms=%d holders=%d "
             "nodes=%d",
             request_id,
             instance,
             per_s,
             command,
-            closed_ms,
+            backoff_ms,
             ask.holders,
             self.bound.nodes,
         )
-        return NoPermit(max(1, closed_ms))
+        return NoPermit(max(1, backoff_ms))
 
     def release_permit(self, permit: Permit) -> None:
         """Release the permit of a request that did not reach the endpoint."""
