--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -106,7 +106,7 @@
         """A request on trial is sent to its endpoint now: no other one is."""
         self._take(events.TrialStarted(request.content))
 
-    def note_break(
+    def record_failure(
         self, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break, waited_for: bool
     ) -> None:
         """An endpoint that may have worked on a request gave no whole answer to it.
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -106,7 +106,7 @@
             request.content if worked_on else None,
         )
         if worked_on:
-            self.quarantine.note_break(request, endpoint, broken, waited_for=kind != PLAIN)
+            self.quarantine.record_failure(request, endpoint, broken, waited_for=kind != PLAIN)
 
     def note_misdirected(self, endpoint: ServiceEndpoint, head: AnswerHead) -> None:
         """Forget an endpoint whose address another one has; the store may tell it later or not."""
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -185,7 +185,7 @@
             Mock(),
         )
         node.note_break(kind, request, endpoint_at(1), Break(BreakCause.RESET, sent))
-        assert node.quarantine.note_break.called is noted, (kind, sent)
+        assert node.quarantine.record_failure.called is noted, (kind, sent)
 
 
 @then("one look serves all runs that broke together")
