--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -83,12 +83,12 @@
         since_ms = arrived_ms - self._drain_ms
         return usable or self._directory.draining_since(service, now_ms, role, since_ms)
 
-    def among(self, endpoints: Collection[ServiceEndpoint]) -> Eligibility:
+    def eligibility_of(self, endpoints: Collection[ServiceEndpoint]) -> Eligibility:
         """Which of the endpoints that a request may choose from are blocked for now.
 
         Those that drain are blocked as well, whether or not they are among these.
         """
-        limited = self._limits.among(endpoints)
+        limited = self._limits.limits_of(endpoints)
         blocks = {
             instance: Block(BlockReason.RATE_LIMITED, backoff_ms)
             for instance, backoff_ms in limited.backoff_ms.items()
--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -161,7 +161,7 @@
 
     # What requests ask.
 
-    def among(self, endpoints: Iterable[ServiceEndpoint]) -> Limited:
+    def limits_of(self, endpoints: Iterable[ServiceEndpoint]) -> Limited:
         """Which of these endpoints name a limit, and which of them are left alone for now."""
         if not len(self._table):
             return NOT_LIMITED
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -97,7 +97,7 @@
         node, now_ms = self._node, self._node.now_ms()
         usable = node.eligibility.usable(self._job.service, self._job.request.arrived_ms)
         ranked = node.loads.rank(usable, now_ms)
-        barred, eligibility = node.barred(self._job), node.eligibility.among(usable)
+        barred, eligibility = node.barred(self._job), node.eligibility.eligibility_of(usable)
         command = plain_core.step(
             self._state, event, ranked, node.budget, now_ms, barred, eligibility
         )
--- a/saffronworks/forwarding/pools.py
+++ b/saffronworks/forwarding/pools.py
@@ -24,7 +24,7 @@
     return Pools(
         _rank_decoders(decoders, loads, tokens, now_ms),
         _rank_readers(prefillers, loads, now_ms),
-        eligibility.among([*decoders, *prefillers]),
+        eligibility.eligibility_of([*decoders, *prefillers]),
     )
 
 
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -361,11 +361,11 @@
     paused = Block(BlockReason.PAUSED, 3000)
     assert eligibility.find_block(listed_one(), 0) == paused
     assert eligibility.find_block(listed_one(), 0, reserved=True) is None
-    assert eligibility.among([listed_one()]).blocks == {"e0": paused}
+    assert eligibility.eligibility_of([listed_one()]).blocks == {"e0": paused}
     # A pause that is named again begins no new time of grace.
     now_ms[0] = PAUSE_GRACE_MS
     eligibility.observe(listed_one(), pause("5"))
     assert eligibility.find_block(listed_one(), 0, reserved=True) == Block(BlockReason.PAUSED, 5000)
     now_ms[0] = PAUSE_GRACE_MS + 5000
     assert eligibility.find_block(listed_one(), 0) is None
-    assert not eligibility.among([listed_one()]).blocks
+    assert not eligibility.eligibility_of([listed_one()]).blocks
