--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -1,6 +1,6 @@
 """Spans and shares of the limits that endpoints name, with their units."""
 
-from saffronworks.forwarding.shares.bounds import Tolerance
+from saffronworks.forwarding.shares.limits import Tolerance
 
 # What an endpoint tolerates: in any 4 s, half as much again as it takes, and 5 requests.
 LIMIT_TOLERANCE = Tolerance(window_ms=4000, overage=0.5, slack=5.0)
--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -5,7 +5,7 @@
 import attrs
 
 from saffronworks.forwarding.shares.asks import Ask
-from saffronworks.forwarding.shares.bounds import Tolerance
+from saffronworks.forwarding.shares.limits import Tolerance
 from saffronworks.forwarding.shares.tuning import (
     ALONE_SHARE,
 )
--- a/saffronworks/forwarding/shares/asks.py
+++ b/saffronworks/forwarding/shares/asks.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from saffronworks.forwarding.shares.bounds import Limit
+from saffronworks.forwarding.shares.limits import Limit
 
 __all__ = ["Answer", "Ask", "GivenBack", "RunAgain"]
 
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -10,7 +10,7 @@
 
 from saffronworks.forwarding.shares.accounts import Account
 from saffronworks.forwarding.shares.asks import Answer, Ask, GivenBack, RunAgain
-from saffronworks.forwarding.shares.bounds import Limit, Tolerance
+from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.tuning import (
     EARLY_SHARE,
     FORGET_ACCOUNTS_EVERY_MS,
--- a/saffronworks/platform/settings.py
+++ b/saffronworks/platform/settings.py
@@ -3,7 +3,7 @@
 import attrs
 from result import Err, Ok, Result
 
-from saffronworks.forwarding.shares.bounds import Tolerance
+from saffronworks.forwarding.shares.limits import Tolerance
 from saffronworks.forwarding.tuning import (
     WATCH_MARGIN_MS,
     WATCH_WAIT_MOST_MS,
--- a/saffronworks/tests/features/steps/quotas_steps.py
+++ b/saffronworks/tests/features/steps/quotas_steps.py
@@ -3,7 +3,7 @@
 import anyio
 from behave import then, when
 
-from saffronworks.forwarding.shares.bounds import Limit
+from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.tuning import SETTLED_MS
 from saffronworks.standins.sites import wait_until
 from saffronworks.tests.platform_place import CONFIG, make_route, on_platform, web_servers
