--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -13,7 +13,6 @@
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.asks import Answer, GivenBack
 from saffronworks.forwarding.shares.entry import (
     Admitted,
     Answered,
@@ -24,6 +23,7 @@
     Unanswered,
 )
 from saffronworks.forwarding.shares.holder import HolderState
+from saffronworks.forwarding.shares.messages import Answer, GivenBack
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -5,10 +5,10 @@
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.asks import Answer, Ask
 from saffronworks.forwarding.shares.entry import Answered, Asking, Begun, EntryState
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
+from saffronworks.forwarding.shares.messages import Answer, Ask
 from saffronworks.forwarding.shares.ring import HolderRing
 
 __all__ = ["print_quotas"]
