--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from saffronworks.forwarding.shares.accounts import Account
+from saffronworks.forwarding.shares.buckets import Account
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.tuning import (
