--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -39,7 +39,7 @@
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
-from saffronworks.forwarding.shares.shared_limit import SharedBound, Told
+from saffronworks.forwarding.shares.shared_limit import SharedLimit, Told
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.starts import StartId
 from saffronworks.kernel import Kernel, Mailbox
@@ -76,7 +76,7 @@
         self._pending = PendingUpdates()
         self._changed = anyio.Event()
         self._kernel: Kernel | None = None
-        self.bound = SharedBound(
+        self.bound = SharedLimit(
             own_address,
             LIMIT_TOLERANCE,
             uncounted_nodes,
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -19,7 +19,7 @@
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
-from saffronworks.forwarding.shares.shared_limit import SharedBound, Told
+from saffronworks.forwarding.shares.shared_limit import SharedLimit, Told
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.tuning import ELSEWHERE_RETRY_MS
 from saffronworks.kernel import Kernel, Mailbox
@@ -58,7 +58,7 @@
         self._own_address = own_address
         self._table = table
         self._kernel: Kernel | None = None
-        self.bound = SharedBound(
+        self.bound = SharedLimit(
             own_address,
             tolerance,
             uncounted_nodes,
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -17,12 +17,12 @@
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
 
-__all__ = ["SharedBound", "Told"]
+__all__ = ["SharedLimit", "Told"]
 
 Told = Ask | Answer | RunAgain | GivenBack
 
 
-class SharedBound:
+class SharedLimit:
     """Asks one of a subject's holders after the other until one admits; holds shares for others.
 
     An ask waits for one message there and back, some milliseconds; for three where shares are used
