--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -39,7 +39,7 @@
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
-from saffronworks.forwarding.shares.shared_limit import SharedLimit, Told
+from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.starts import StartId
 from saffronworks.kernel import Kernel, Mailbox
@@ -235,7 +235,7 @@
             case LimitsWanted(reply_to):
                 self._tell_limits((reply_to,), self._table.limited()[:MAX_LIMITS_PER_MESSAGE])
 
-    def _tell(self, node: str, told: Told) -> None:
+    def _tell(self, node: str, told: ShareMessage) -> None:
         match told:
             case Ask(ask_id, subject, calls, Limit(per_s), holders):
                 heard = self._told_of(StartId(subject)) or HeardLimit(StartId(subject), per_s, 0)
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -19,7 +19,7 @@
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
-from saffronworks.forwarding.shares.shared_limit import SharedLimit, Told
+from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.tuning import ELSEWHERE_RETRY_MS
 from saffronworks.kernel import Kernel, Mailbox
@@ -168,11 +168,13 @@
             case QuotaGivenBack(ask_id, organisation, holders):
                 self.bound.hold(GivenBack(ask_id, organisation, holders))
 
-    def _tell(self, node: str, told: Told) -> None:
+    def _tell(self, node: str, told: ShareMessage) -> None:
         if self._kernel is not None:
             self._kernel.post("peers", Outgoing(node, self._encode(told)))
 
-    def _encode(self, told: Told) -> QuotaAsk | QuotaAnswer | QuotaRunAgain | QuotaGivenBack:
+    def _encode(
+        self, told: ShareMessage
+    ) -> QuotaAsk | QuotaAnswer | QuotaRunAgain | QuotaGivenBack:
         match told:
             case Ask(ask_id, subject, cost, Limit(per_s, burst), holders):
                 return QuotaAsk(ask_id, self._own_address, subject, cost, per_s, burst, holders)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -17,9 +17,9 @@
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
 
-__all__ = ["SharedLimit", "Told"]
+__all__ = ["SharedLimit", "ShareMessage"]
 
-Told = Ask | Answer | RunAgain | GivenBack
+ShareMessage = Ask | Answer | RunAgain | GivenBack
 
 
 class SharedLimit:
@@ -39,7 +39,7 @@
         uncounted_nodes: int,
         now_ms: Callable[[], int],
         limit_of: Callable[[holder.Event], Limit | None],
-        tell: Callable[[str, Told], None],
+        tell: Callable[[str, ShareMessage], None],
         note_change: Callable[[ShareChanged], None],
         in_turn: bool = True,
     ):
