--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -30,16 +30,16 @@
     not know of it.
     """
 
-    bounds: Tolerance
+    tolerance: Tolerance
     nodes: int
     _credits: dict[str, _Credit] = attrs.Factory(dict)
 
     def admit(self, ask: Ask, now_ms: int) -> bool:
         """Whether a request may run; the draw is by its id, so the same at each look."""
         # Half of the part at once and half of it over a window: no window sees more than all.
-        half = ALONE_SHARE * self.bounds.spare(ask.limit) / max(1, self.nodes) / 2
+        half = ALONE_SHARE * self.tolerance.spare(ask.limit) / max(1, self.nodes) / 2
         credit = self._credits.setdefault(ask.subject, _Credit(half, now_ms))
-        grown = half * max(0, now_ms - credit.at_ms) / self.bounds.window_ms
+        grown = half * max(0, now_ms - credit.at_ms) / self.tolerance.window_ms
         credit.amount, credit.at_ms = min(half, credit.amount + grown), max(credit.at_ms, now_ms)
         if credit.amount >= ask.cost:
             credit.amount -= ask.cost
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -41,7 +41,7 @@
     `in_turn`: who is refused is told a time to return that no other one was told.
     """
 
-    bounds: Tolerance
+    tolerance: Tolerance
     began_ms: int
     in_turn: bool = True
     accounts: dict[str, Account] = attrs.Factory(dict)
@@ -65,12 +65,12 @@
 
     def capacity(self, share: Limit, holders: int) -> float:
         """The most that a subject may owe here when an ask of it has been admitted."""
-        return share.burst + EARLY_SHARE * self.bounds.share(holders).spare(share)
+        return share.burst + EARLY_SHARE * self.tolerance.share(holders).spare(share)
 
     def _first_debt(self, share: Limit, holders: int, now_ms: int) -> float:
-        if now_ms - self.began_ms >= self.bounds.window_ms:
+        if now_ms - self.began_ms >= self.tolerance.window_ms:
             return 0.0
-        spare = self.bounds.share(holders).spare(share)
+        spare = self.tolerance.share(holders).spare(share)
         return max(0.0, self.capacity(share, holders) - NEW_HOLDER_SHARE * spare)
 
     def _forget_idle(self, now_ms: int) -> None:
