--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -11,7 +11,7 @@
     RETURN_MOST_MS,
 )
 
-__all__ = ["Account"]
+__all__ = ["LeakyBucket"]
 
 
 @attrs.frozen
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class Account:
+class LeakyBucket:
     """What was counted and is not yet made up for by the time that passed: a debt.
 
     Asks are known by their ids for a while, so that a message that comes twice counts once and what
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from saffronworks.forwarding.shares.buckets import Account
+from saffronworks.forwarding.shares.buckets import LeakyBucket
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.tuning import (
@@ -44,20 +44,20 @@
     tolerance: Tolerance
     began_ms: int
     in_turn: bool = True
-    accounts: dict[str, Account] = attrs.Factory(dict)
+    accounts: dict[str, LeakyBucket] = attrs.Factory(dict)
     _forgot_ms: int = 0
 
     def update_nodes(self, now_ms: int) -> None:
         """Other nodes are there: this one may hold shares that another one held until now."""
         self.began_ms = now_ms
 
-    def account(self, event: Event, share: Limit, now_ms: int) -> Account:
+    def account(self, event: Event, share: Limit, now_ms: int) -> LeakyBucket:
         """What is known of a subject up to now."""
         self._forget_idle(now_ms)
         name = event.subject
         if name not in self.accounts:
             first_debt = self._first_debt(share, event.holders, now_ms)
-            self.accounts[name] = Account(first_debt, share.per_s, now_ms)
+            self.accounts[name] = LeakyBucket(first_debt, share.per_s, now_ms)
         account = self.accounts[name]
         account.pass_time(now_ms)
         account.per_s = share.per_s
@@ -100,7 +100,7 @@
 
 
 def _answer(
-    state: HolderState, account: Account, ask: Ask, share: Limit, now_ms: int
+    state: HolderState, account: LeakyBucket, ask: Ask, share: Limit, now_ms: int
 ) -> list[Answer | ShareChanged]:
     capacity = state.capacity(share, ask.holders)
     admitted = account.knows(ask.ask_id) or account.has_room(ask.cost, capacity)
