--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -44,24 +44,24 @@
     tolerance: Tolerance
     began_ms: int
     in_turn: bool = True
-    accounts: dict[str, LeakyBucket] = attrs.Factory(dict)
+    buckets: dict[str, LeakyBucket] = attrs.Factory(dict)
     _forgot_ms: int = 0
 
     def update_nodes(self, now_ms: int) -> None:
         """Other nodes are there: this one may hold shares that another one held until now."""
         self.began_ms = now_ms
 
-    def account(self, event: Event, share: Limit, now_ms: int) -> LeakyBucket:
+    def bucket(self, event: Event, share: Limit, now_ms: int) -> LeakyBucket:
         """What is known of a subject up to now."""
         self._forget_idle(now_ms)
         name = event.subject
-        if name not in self.accounts:
+        if name not in self.buckets:
             first_debt = self._first_debt(share, event.holders, now_ms)
-            self.accounts[name] = LeakyBucket(first_debt, share.per_s, now_ms)
-        account = self.accounts[name]
-        account.pass_time(now_ms)
-        account.per_s = share.per_s
-        return account
+            self.buckets[name] = LeakyBucket(first_debt, share.per_s, now_ms)
+        bucket = self.buckets[name]
+        bucket.pass_time(now_ms)
+        bucket.per_s = share.per_s
+        return bucket
 
     def capacity(self, share: Limit, holders: int) -> float:
         """The most that a subject may owe here when an ask of it has been admitted."""
@@ -77,10 +77,10 @@
         if now_ms - self._forgot_ms < FORGET_ACCOUNTS_EVERY_MS:
             return
         self._forgot_ms = now_ms
-        for name, account in list(self.accounts.items()):
-            account.pass_time(now_ms)
-            if account.idle:
-                del self.accounts[name]
+        for name, bucket in list(self.buckets.items()):
+            bucket.pass_time(now_ms)
+            if bucket.idle:
+                del self.buckets[name]
 
 
 def step(
@@ -88,33 +88,33 @@
 ) -> list[Answer | ShareChanged]:
     """The answer to an ask, and what changed; `limit` is the subject's whole limit."""
     share = limit.share(event.holders)
-    account = state.account(event, share, now_ms)
+    bucket = state.bucket(event, share, now_ms)
     match event:
         case Ask():
-            return _answer(state, account, event, share, now_ms)
+            return _answer(state, bucket, event, share, now_ms)
         case RunAgain():
-            account.count(event.ask_id, event.cost, now_ms)
+            bucket.count(event.ask_id, event.cost, now_ms)
         case GivenBack():
-            account.give_back(event.ask_id)
+            bucket.give_back(event.ask_id)
     return []
 
 
 def _answer(
-    state: HolderState, account: LeakyBucket, ask: Ask, share: Limit, now_ms: int
+    state: HolderState, bucket: LeakyBucket, ask: Ask, share: Limit, now_ms: int
 ) -> list[Answer | ShareChanged]:
     capacity = state.capacity(share, ask.holders)
-    admitted = account.knows(ask.ask_id) or account.has_room(ask.cost, capacity)
+    admitted = bucket.knows(ask.ask_id) or bucket.has_room(ask.cost, capacity)
     after_ms = 0
     if admitted:
-        account.count(ask.ask_id, ask.cost, now_ms)
+        bucket.count(ask.ask_id, ask.cost, now_ms)
     else:
-        after_ms = account.room_after_ms(ask.cost, capacity)
+        after_ms = bucket.room_after_ms(ask.cost, capacity)
         if state.in_turn:
-            after_ms = account.next_return_ms(ask.cost, after_ms, now_ms)
+            after_ms = bucket.next_return_ms(ask.cost, after_ms, now_ms)
     answer = Answer(ask.ask_id, admitted, after_ms)
-    within = admitted and account.debt <= WITHIN_AGAIN_SHARE * capacity
-    changes = within if account.exceeded else not admitted
+    within = admitted and bucket.debt <= WITHIN_AGAIN_SHARE * capacity
+    changes = within if bucket.exceeded else not admitted
     if not changes:
         return [answer]
-    account.exceeded = not account.exceeded
-    return [answer, ShareChanged(ask.subject, account.exceeded, account.debt, share)]
+    bucket.exceeded = not bucket.exceeded
+    return [answer, ShareChanged(ask.subject, bucket.exceeded, bucket.debt, share)]
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -213,7 +213,7 @@
     held = holder_since_long()
     for _ in range(5):
         assert step(held, ask_of(1), LIMIT, 0)[0].admitted
-    assert held.accounts["o"].debt == 50
+    assert held.buckets["o"].debt == 50
 
 
 @then("what was not run is given back once")
@@ -224,7 +224,7 @@
     for _ in range(3):
         step(held, GivenBack("r1", "o", 1), LIMIT, 0)
         step(held, GivenBack("r9", "o", 1), LIMIT, 0)
-    assert held.accounts["o"].debt == 100
+    assert held.buckets["o"].debt == 100
 
 
 @then("a node that has counted fewer than three divides a quota by three until all know that")
@@ -292,12 +292,12 @@
     held = holder_since_long()
     for number in range(2 * MOST_COUNTED):
         step(held, ask_of(number, cost=0), LIMIT, 0)
-    assert len(held.accounts["o"]._counted) <= MOST_COUNTED + 1
+    assert len(held.buckets["o"]._counted) <= MOST_COUNTED + 1
     for number in range(1000):
         step(held, ask_of(number, name=f"o{number}"), LIMIT, 0)
     later_ms = COUNTED_KEPT_MS + FORGET_ACCOUNTS_EVERY_MS
     step(held, ask_of("x"), LIMIT, later_ms)
-    assert len(held.accounts) == 1, len(held.accounts)
+    assert len(held.buckets) == 1, len(held.buckets)
 
 
 @then("a node alone forgets organisations that are gone")
