--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -279,7 +279,7 @@
         "event=limit_share endpoint=%s used_up=%s sent=%.1f share_per_s=%.3f",
         change.subject,
         change.exceeded,
-        change.debt,
+        change.level,
         change.share.per_s,
     )
 
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -148,7 +148,7 @@
             "config=%s",
             change.subject,
             change.exceeded,
-            change.debt,
+            change.level,
             change.share.per_s,
             change.share.burst,
             table.version if table else None,
--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -28,7 +28,7 @@
     was not run is given back once.
     """
 
-    debt: float
+    level: float
     per_s: float
     at_ms: int
     exceeded: bool = False
@@ -38,11 +38,11 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is known that a new account wouldn't say as well."""
-        return not self.debt and not self._counted
+        return not self.level and not self._counted
 
     def pass_time(self, now_ms: int) -> None:
         """The debt falls at the share's rate."""
-        self.debt = max(0.0, self.debt - self.per_s * max(0, now_ms - self.at_ms) / 1000)
+        self.level = max(0.0, self.level - self.per_s * max(0, now_ms - self.at_ms) / 1000)
         self.at_ms = max(self.at_ms, now_ms)
         while self._counted:
             oldest = next(iter(self._counted.values()))
@@ -56,24 +56,24 @@
 
     def has_room(self, cost: int, capacity: float) -> bool:
         """Whether a request fits; one larger than the whole capacity does when nothing is owed."""
-        return self.debt + cost <= capacity or not self.debt
+        return self.level + cost <= capacity or not self.level
 
     def count(self, ask_id: str, cost: int, now_ms: int) -> None:
         """A request runs."""
         if ask_id not in self._counted:
-            self.debt += cost
+            self.level += cost
             self._counted[ask_id] = _Counted(cost, now_ms)
 
     def give_back(self, ask_id: str) -> None:
         """A request that was counted did not run."""
         counted = self._counted.pop(ask_id, None)
         if counted is not None:
-            self.debt = max(0.0, self.debt - counted.cost)
+            self.level = max(0.0, self.level - counted.cost)
 
     def room_after_ms(self, cost: int, capacity: float) -> int:
         """After how long there is room, if nothing else is admitted meanwhile."""
         # What is larger than the whole capacity fits when nothing is owed.
-        excess = min(self.debt, max(0.0, self.debt + cost - capacity))
+        excess = min(self.level, max(0.0, self.level + cost - capacity))
         return max(1, math.ceil(1000 * excess / self.per_s))
 
     def next_return_ms(self, cost: int, room_after_ms: int, now_ms: int) -> int:
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -27,7 +27,7 @@
 
     subject: str
     exceeded: bool
-    debt: float
+    level: float
     share: Limit
 
 
@@ -56,8 +56,8 @@
         self._forget_idle(now_ms)
         name = event.subject
         if name not in self.buckets:
-            first_debt = self._first_debt(share, event.holders, now_ms)
-            self.buckets[name] = LeakyBucket(first_debt, share.per_s, now_ms)
+            first_level = self._first_level(share, event.holders, now_ms)
+            self.buckets[name] = LeakyBucket(first_level, share.per_s, now_ms)
         bucket = self.buckets[name]
         bucket.pass_time(now_ms)
         bucket.per_s = share.per_s
@@ -67,7 +67,7 @@
         """The most that a subject may owe here when an ask of it has been admitted."""
         return share.burst + EARLY_SHARE * self.tolerance.share(holders).spare(share)
 
-    def _first_debt(self, share: Limit, holders: int, now_ms: int) -> float:
+    def _first_level(self, share: Limit, holders: int, now_ms: int) -> float:
         if now_ms - self.began_ms >= self.tolerance.window_ms:
             return 0.0
         spare = self.tolerance.share(holders).spare(share)
@@ -112,9 +112,9 @@
         if state.in_turn:
             after_ms = bucket.next_return_ms(ask.cost, after_ms, now_ms)
     answer = Answer(ask.ask_id, admitted, after_ms)
-    within = admitted and bucket.debt <= WITHIN_AGAIN_SHARE * capacity
+    within = admitted and bucket.level <= WITHIN_AGAIN_SHARE * capacity
     changes = within if bucket.exceeded else not admitted
     if not changes:
         return [answer]
     bucket.exceeded = not bucket.exceeded
-    return [answer, ShareChanged(ask.subject, bucket.exceeded, bucket.debt, share)]
+    return [answer, ShareChanged(ask.subject, bucket.exceeded, bucket.level, share)]
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -213,7 +213,7 @@
     held = holder_since_long()
     for _ in range(5):
         assert step(held, ask_of(1), LIMIT, 0)[0].admitted
-    assert held.buckets["o"].debt == 50
+    assert held.buckets["o"].level == 50
 
 
 @then("what was not run is given back once")
@@ -224,7 +224,7 @@
     for _ in range(3):
         step(held, GivenBack("r1", "o", 1), LIMIT, 0)
         step(held, GivenBack("r9", "o", 1), LIMIT, 0)
-    assert held.buckets["o"].debt == 100
+    assert held.buckets["o"].level == 100
 
 
 @then("a node that has counted fewer than three divides a quota by three until all know that")
--- a/saffronworks/tests/features/steps/quotas_steps.py
+++ b/saffronworks/tests/features/steps/quotas_steps.py
@@ -39,7 +39,7 @@
 def account(place, name):
     """What is owed by all shares of an organisation."""
     held = [node._quotas.shared_limit.held.buckets.get(name) for node in place.nodes]
-    return sum(one.debt for one in held if one is not None)
+    return sum(one.level for one in held if one is not None)
 
 
 @when("an organisation asks for four times its burst at two nodes in turn")
