--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -40,7 +40,7 @@
         """Whether nothing is known that a new account wouldn't say as well."""
         return not self.level and not self._counted
 
-    def pass_time(self, now_ms: int) -> None:
+    def drain(self, now_ms: int) -> None:
         """The debt falls at the share's rate."""
         self.level = max(0.0, self.level - self.per_s * max(0, now_ms - self.at_ms) / 1000)
         self.at_ms = max(self.at_ms, now_ms)
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -59,7 +59,7 @@
             first_level = self._first_level(share, event.holders, now_ms)
             self.buckets[name] = LeakyBucket(first_level, share.per_s, now_ms)
         bucket = self.buckets[name]
-        bucket.pass_time(now_ms)
+        bucket.drain(now_ms)
         bucket.per_s = share.per_s
         return bucket
 
@@ -78,7 +78,7 @@
             return
         self._forgot_ms = now_ms
         for name, bucket in list(self.buckets.items()):
-            bucket.pass_time(now_ms)
+            bucket.drain(now_ms)
             if bucket.idle:
                 del self.buckets[name]
 
