--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -50,7 +50,7 @@
                 return
             self._counted.popitem(last=False)
 
-    def knows(self, ask_id: str) -> bool:
+    def has_counted(self, ask_id: str) -> bool:
         """Whether a request is counted already."""
         return ask_id in self._counted
 
