--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -95,7 +95,7 @@
         )
         return self._charge(ask, command, request.request_id)
 
-    def count_run(self, charge: QuotaCharge, number: int) -> None:
+    def charge_again(self, charge: QuotaCharge, number: int) -> None:
         """A request runs at another endpoint as well: the `number`th send of it."""
         if charge.ask is not None and charge.holder is not None:
             ask = charge.ask
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -81,7 +81,7 @@
         """A request is sent to an endpoint that is to run it: each run counts for its quota."""
         job.runs.begin_run()
         if job.runs.runs > 1:
-            self.quotas.count_run(job.charge, job.runs.sends)
+            self.quotas.charge_again(job.charge, job.runs.sends)
 
     def note_break(
         self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break
