--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -205,7 +205,7 @@
 
     def release_permit(self, permit: Permit) -> None:
         """Release the permit of a request that did not reach the endpoint."""
-        self.shared_limit.give_back(permit.ask, permit.holder)
+        self.shared_limit.refund(permit.ask, permit.holder)
 
     # What a holder knows.
 
--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -121,7 +121,7 @@
             await self._send_on(job, table)
         finally:
             if job.runs.none:
-                self._node.quotas.give_back(job.charge)
+                self._node.quotas.refund(job.charge)
 
     async def _send_on(self, job: Job, table: RoutingTable) -> None:
         service = table.services.get(job.service)
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -102,9 +102,9 @@
             again = RunAgain(f"{ask.ask_id}#{number}", ask.subject, ask.cost, ask.holders)
             self.shared_limit.send(charge.holder, again)
 
-    def give_back(self, charge: QuotaCharge) -> None:
+    def refund(self, charge: QuotaCharge) -> None:
         """No endpoint ran a request that was admitted."""
-        self.shared_limit.give_back(charge.ask, charge.holder)
+        self.shared_limit.refund(charge.ask, charge.holder)
 
     # How they are settled.
 
--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -64,7 +64,7 @@
             self.level += cost
             self._counted[ask_id] = _Counted(cost, now_ms)
 
-    def give_back(self, ask_id: str) -> None:
+    def refund(self, ask_id: str) -> None:
         """A request that was counted did not run."""
         counted = self._counted.pop(ask_id, None)
         if counted is not None:
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -95,7 +95,7 @@
         case RunAgain():
             bucket.count(event.ask_id, event.cost, now_ms)
         case GivenBack():
-            bucket.give_back(event.ask_id)
+            bucket.refund(event.ask_id)
     return []
 
 
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -110,7 +110,7 @@
         else:
             self._tell(node, event)
 
-    def give_back(self, ask: Ask | None, node: str | None) -> None:
+    def refund(self, ask: Ask | None, node: str | None) -> None:
         """What a holder admitted was not run; nothing is told where no holder counted it."""
         if ask is not None and node is not None:
             self.send(node, GivenBack(ask.ask_id, ask.subject, ask.holders))
--- a/saffronworks/tests/quota_plays.py
+++ b/saffronworks/tests/quota_plays.py
@@ -158,6 +158,6 @@
             self.outcome.refused += 1
             self.outcome.refused_within += request.organisation not in self.outcome.beyond
         elif self.rng.random() < self.not_run_share:
-            self.shares.give_back(request.node, ask, command)
+            self.shares.refund(request.node, ask, command)
         else:
             self.outcome.ran[request.organisation].append((self.now_ms, request.cost))
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -109,7 +109,7 @@
         replies = holder.step(self.nodes[name].held, event, limit, self._fleet.now_ms)
         return next((reply for reply in replies if isinstance(reply, Answer)), None)
 
-    def give_back(self, name, ask, command):
+    def refund(self, name, ask, command):
         """What was admitted was not run."""
         if isinstance(command, Admitted) and command.holder is not None:
             back = GivenBack(ask.ask_id, ask.subject, ask.holders)
