--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -84,7 +84,7 @@
             limit_of=self._limit,
             tell=self._tell,
             note_change=_log_change,
-            in_turn=False,
+            stagger_retries=False,
         )
 
     def update_nodes(self, cores: dict[str, float]) -> None:
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -43,7 +43,7 @@
 
     tolerance: Tolerance
     began_ms: int
-    in_turn: bool = True
+    stagger_retries: bool = True
     buckets: dict[str, LeakyBucket] = attrs.Factory(dict)
     _forgot_ms: int = 0
 
@@ -109,7 +109,7 @@
         bucket.count(ask.ask_id, ask.cost, now_ms)
     else:
         after_ms = bucket.room_after_ms(ask.cost, capacity)
-        if state.in_turn:
+        if state.stagger_retries:
             after_ms = bucket.next_return_ms(ask.cost, after_ms, now_ms)
     answer = Answer(ask.ask_id, admitted, after_ms)
     within = admitted and bucket.level <= WITHIN_AGAIN_SHARE * capacity
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -41,7 +41,7 @@
         limit_of: Callable[[holder.Event], Limit | None],
         tell: Callable[[str, ShareMessage], None],
         note_change: Callable[[ShareChanged], None],
-        in_turn: bool = True,
+        stagger_retries: bool = True,
     ):
         self._own_address = own_address
         self._now_ms = now_ms
@@ -51,7 +51,7 @@
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
         # A holder's work is small, so all nodes share it: few subjects lose all three at once.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
-        self.held = HolderState(tolerance, now_ms(), in_turn)
+        self.held = HolderState(tolerance, now_ms(), stagger_retries)
         # Ids of asks; those of an earlier life of this node must not come again.
         self._life, self._numbers = secrets.token_hex(4), itertools.count()
         self._answers: dict[str, Answer] = {}
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -63,7 +63,7 @@
         self.first_named_ms = None
         self.excused_until_ms = {}
         self.nodes = {name: self._start(name) for name in self.names}
-        self.shares = FleetShares(self, LIMIT_TOLERANCE, self._limit_of, in_turn=False)
+        self.shares = FleetShares(self, LIMIT_TOLERANCE, self._limit_of, stagger_retries=False)
         for name in self.live:
             self.at(self.rng.randrange(GOSSIP_INTERVAL_MS), self._tell, name)
 
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -49,11 +49,11 @@
     `limit_of(node, event)` is the limit of an event's subject as a node knows it.
     """
 
-    def __init__(self, fleet, tolerance, limit_of, in_turn=True):
+    def __init__(self, fleet, tolerance, limit_of, stagger_retries=True):
         self._fleet = fleet
         self._tolerance = tolerance
         self._limit_of = limit_of
-        self._in_turn = in_turn
+        self._in_turn = stagger_retries
         self.nodes = {name: self._start(False) for name in fleet.names}
 
     def restart(self, name):
