--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -83,7 +83,7 @@
             now_ms,
             limit_of=self._limit,
             tell=self._tell,
-            note_change=_log_change,
+            on_change=_log_change,
             stagger_retries=False,
         )
 
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -65,7 +65,7 @@
             now_ms,
             limit_of=self._limit,
             tell=self._tell,
-            note_change=self._log_change,
+            on_change=self._log_change,
         )
 
     def update_nodes(self, cores: dict[str, float]) -> None:
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -40,14 +40,14 @@
         now_ms: Callable[[], int],
         limit_of: Callable[[holder.Event], Limit | None],
         tell: Callable[[str, ShareMessage], None],
-        note_change: Callable[[ShareChanged], None],
+        on_change: Callable[[ShareChanged], None],
         stagger_retries: bool = True,
     ):
         self._own_address = own_address
         self._now_ms = now_ms
         self._limit_of = limit_of
         self._tell = tell
-        self._note_change = note_change
+        self._note_change = on_change
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
         # A holder's work is small, so all nodes share it: few subjects lose all three at once.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
