--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -182,7 +182,7 @@
         if backoff_ms:
             return NoPermit(backoff_ms)
         ask = self.shared_limit.make_ask(instance, calls, Limit(per_s, 0.0))
-        command = await self.shared_limit.settle(
+        command = await self.shared_limit.acquire(
             ask, lambda node: _log_silent(request_id, ask, node)
         )
         if isinstance(command, Admitted):
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -90,7 +90,7 @@
         if organisation is None or organisation.quota is None:
             return NOT_COUNTED
         ask = self._make_ask(request, organisation.name, organisation.quota)
-        command = await self.shared_limit.settle(
+        command = await self.shared_limit.acquire(
             ask, lambda node: _log_silent(request.request_id, ask, node)
         )
         return self._charge(ask, command, request.request_id)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -76,7 +76,7 @@
         ask_id = f"{self._life}-{next(self._numbers):x}"
         return Ask(ask_id, subject, cost, limit, self.entry.ring.shares(self._now_ms()))
 
-    async def settle(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
+    async def acquire(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
         """Whether what is asked for may run: `Admitted`, `Refused` or `Unknown`."""
         asking = Asking(ask)
         command = entry.step(self.entry, asking, Begun(), self._now_ms())
