--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -232,7 +232,7 @@
                     reply_to, Ask(ask_id, heard.endpoint, calls, limit, holders)
                 )
             case SendGivenBack(ask_id, endpoint, holders):
-                self.shared_limit.hold(GivenBack(ask_id, endpoint, holders))
+                self.shared_limit.apply(GivenBack(ask_id, endpoint, holders))
             case LimitNews(limits):
                 for heard in limits:
                     self._on_update(heard)
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -164,9 +164,9 @@
                 ask = Ask(ask_id, organisation, cost, Limit(per_s, burst), holders)
                 self.shared_limit.answer(reply_to, ask)
             case QuotaRunAgain(ask_id, organisation, cost, holders):
-                self.shared_limit.hold(RunAgain(ask_id, organisation, cost, holders))
+                self.shared_limit.apply(RunAgain(ask_id, organisation, cost, holders))
             case QuotaGivenBack(ask_id, organisation, holders):
-                self.shared_limit.hold(GivenBack(ask_id, organisation, holders))
+                self.shared_limit.apply(GivenBack(ask_id, organisation, holders))
 
     def _tell(self, node: str, told: ShareMessage) -> None:
         if self._kernel is not None:
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -90,7 +90,7 @@
     async def _ask(self, node: str, ask: Ask) -> entry.Event:
         """Have a holder count an ask; it may be this node."""
         own = node == self._own_address
-        answer = self.hold(ask) if own else await self._ask_other(node, ask)
+        answer = self.apply(ask) if own else await self._ask_other(node, ask)
         return entry.Answered(node, answer) if answer is not None else entry.Unanswered(node)
 
     async def _ask_other(self, node: str, ask: Ask) -> Answer | None:
@@ -106,7 +106,7 @@
     def send(self, node: str, event: RunAgain | GivenBack) -> None:
         """Tell a holder, which may be this node, what became of something that it admitted."""
         if node == self._own_address:
-            self.hold(event)
+            self.apply(event)
         else:
             self._tell(node, event)
 
@@ -123,11 +123,11 @@
 
     def answer(self, node: str, ask: Ask) -> None:
         """Another node asks this one as a holder."""
-        answer = self.hold(ask)
+        answer = self.apply(ask)
         if answer is not None:
             self._tell(node, answer)
 
-    def hold(self, event: holder.Event) -> Answer | None:
+    def apply(self, event: holder.Event) -> Answer | None:
         """Take what concerns a share that is held here; the answer where it is an ask."""
         limit = self._limit_of(event)
         if limit is None:
