--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -224,7 +224,7 @@
     ) -> None:
         match message:
             case SendAnswer(ask_id, admitted, retry_after_ms):
-                self.shared_limit.take_answer(Answer(ask_id, admitted, retry_after_ms))
+                self.shared_limit.handle_answer(Answer(ask_id, admitted, retry_after_ms))
             case SendAsk(ask_id, reply_to, HeardLimit() as heard, calls, holders):
                 self._on_update(heard)
                 limit = Limit(heard.per_s or 0.0, 0.0)
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -159,7 +159,7 @@
     def _take(self, message: QuotaAsk | QuotaAnswer | QuotaRunAgain | QuotaGivenBack) -> None:
         match message:
             case QuotaAnswer(ask_id, admitted, retry_after_ms):
-                self.shared_limit.take_answer(Answer(ask_id, admitted, retry_after_ms))
+                self.shared_limit.handle_answer(Answer(ask_id, admitted, retry_after_ms))
             case QuotaAsk(ask_id, reply_to, organisation, cost, per_s, burst, holders):
                 ask = Ask(ask_id, organisation, cost, Limit(per_s, burst), holders)
                 self.shared_limit.answer(reply_to, ask)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -115,7 +115,7 @@
         if ask is not None and node is not None:
             self.send(node, GivenBack(ask.ask_id, ask.subject, ask.holders))
 
-    def take_answer(self, answer: Answer) -> None:
+    def handle_answer(self, answer: Answer) -> None:
         """A holder answered."""
         if answer.ask_id in self._arrived:
             self._answers[answer.ask_id] = answer
