--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -51,7 +51,7 @@
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
         # A holder's work is small, so all nodes share it: few subjects lose all three at once.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
-        self.held = HolderState(tolerance, now_ms(), stagger_retries)
+        self.holder_state = HolderState(tolerance, now_ms(), stagger_retries)
         # Ids of asks; those of an earlier life of this node must not come again.
         self._life, self._numbers = secrets.token_hex(4), itertools.count()
         self._answers: dict[str, Answer] = {}
@@ -66,7 +66,7 @@
         """Which nodes there are, by their addresses, with their processor cores."""
         now_ms = self._now_ms()
         if cores.keys() != self.entry.choice.cores.keys():
-            self.held.update_nodes(now_ms)
+            self.holder_state.update_nodes(now_ms)
         self.entry.choice.cores = cores
         self.entry.ring.take(cores, now_ms)
         self.entry.allowances.nodes = max(1, len(cores))
@@ -133,7 +133,7 @@
         if limit is None:
             return Answer(event.ask_id, True) if isinstance(event, Ask) else None
         answer = None
-        for reply in holder.step(self.held, event, limit, self._now_ms()):
+        for reply in holder.step(self.holder_state, event, limit, self._now_ms()):
             match reply:
                 case Answer():
                     answer = reply
--- a/saffronworks/tests/features/steps/quotas_steps.py
+++ b/saffronworks/tests/features/steps/quotas_steps.py
@@ -38,7 +38,7 @@
 
 def account(place, name):
     """What is owed by all shares of an organisation."""
-    held = [node._quotas.shared_limit.held.buckets.get(name) for node in place.nodes]
+    held = [node._quotas.shared_limit.holder_state.buckets.get(name) for node in place.nodes]
     return sum(one.level for one in held if one is not None)
 
 
@@ -138,6 +138,6 @@
     async def play(place):
         for path, fields in (("/open/", {}), ("/once/", {"Key": FREE_KEY})):
             assert status(await place.ask(path, f"r{path}", fields)) == 200
-        assert not place.node._quotas.shared_limit.held.buckets
+        assert not place.node._quotas.shared_limit.holder_state.buckets
 
     on_platform(web_servers(), play, config=WITH_QUOTAS)
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -40,7 +40,7 @@
 @attrs.define
 class _Node:
     entry: EntryState
-    held: HolderState
+    holder_state: HolderState
 
 
 class FleetShares:
@@ -74,7 +74,7 @@
         """A node has counted the others, and these are gone; new holders are there."""
         now_ms, left = self._fleet.now_ms, [node for node in self._fleet.names if node not in gone]
         self.nodes[name].entry.ring.take(left, now_ms)
-        self.nodes[name].held.update_nodes(now_ms)
+        self.nodes[name].holder_state.update_nodes(now_ms)
 
     def ask(self, name, ask, settle):
         """Have a node ask for leave; `settle(command)` is called with what came of it."""
@@ -106,7 +106,7 @@
 
     def _hold(self, name, event):
         limit = self._limit_of(name, event)
-        replies = holder.step(self.nodes[name].held, event, limit, self._fleet.now_ms)
+        replies = holder.step(self.nodes[name].holder_state, event, limit, self._fleet.now_ms)
         return next((reply for reply in replies if isinstance(reply, Answer)), None)
 
     def refund(self, name, ask, command):
