--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding.shares.tuning import (
     COUNTED_KEPT_MS,
-    MOST_COUNTED,
+    MAX_COUNTED_ASKS,
     RETURN_MOST_MS,
 )
 
@@ -46,7 +46,7 @@
         self.at_ms = max(self.at_ms, now_ms)
         while self._counted:
             oldest = next(iter(self._counted.values()))
-            if now_ms - oldest.at_ms < COUNTED_KEPT_MS and len(self._counted) <= MOST_COUNTED:
+            if now_ms - oldest.at_ms < COUNTED_KEPT_MS and len(self._counted) <= MAX_COUNTED_ASKS:
                 return
             self._counted.popitem(last=False)
 
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -25,7 +25,7 @@
 # What was counted is known by its ask for so long: the longest time that callers wait.
 COUNTED_KEPT_MS = 15_000
 # Asks of one subject known at most; 0.2 KB each. Of older ones nothing is given back.
-MOST_COUNTED = 4096
+MAX_COUNTED_ASKS = 4096
 FORGET_ACCOUNTS_EVERY_MS = 5000
 # Callers don't wait for longer than this, whatever they are told.
 RETURN_MOST_MS = 30_000
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -18,7 +18,7 @@
     ALONE_SHARE,
     COUNTED_KEPT_MS,
     FORGET_ACCOUNTS_EVERY_MS,
-    MOST_COUNTED,
+    MAX_COUNTED_ASKS,
     SETTLED_MS,
     VIEW_LASTED_MS,
     VIEWS_DIFFER_MS,
@@ -290,9 +290,9 @@
 @then("a holder forgets organisations that owe nothing, and requests that are long over")
 def forgets(context):
     held = holder_since_long()
-    for number in range(2 * MOST_COUNTED):
+    for number in range(2 * MAX_COUNTED_ASKS):
         step(held, ask_of(number, cost=0), LIMIT, 0)
-    assert len(held.buckets["o"]._counted) <= MOST_COUNTED + 1
+    assert len(held.buckets["o"]._counted) <= MAX_COUNTED_ASKS + 1
     for number in range(1000):
         step(held, ask_of(number, name=f"o{number}"), LIMIT, 0)
     later_ms = COUNTED_KEPT_MS + FORGET_ACCOUNTS_EVERY_MS
