--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding.shares.tuning import (
     COUNTED_KEPT_MS,
     MAX_COUNTED_ASKS,
-    RETURN_MOST_MS,
+    MAX_RETRY_AFTER_MS,
 )
 
 __all__ = ["LeakyBucket"]
@@ -84,5 +84,5 @@
         """
         turn_ms = self._next_return_ms + 1000 * cost / self.per_s
         turn_ms = max(now_ms + room_after_ms, turn_ms)
-        self._next_return_ms = min(turn_ms, now_ms + RETURN_MOST_MS)
+        self._next_return_ms = min(turn_ms, now_ms + MAX_RETRY_AFTER_MS)
         return max(1, int(self._next_return_ms - now_ms))
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -28,4 +28,4 @@
 MAX_COUNTED_ASKS = 4096
 FORGET_ACCOUNTS_EVERY_MS = 5000
 # Callers don't wait for longer than this, whatever they are told.
-RETURN_MOST_MS = 30_000
+MAX_RETRY_AFTER_MS = 30_000
