--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -6,7 +6,7 @@
 import attrs
 
 from saffronworks.forwarding.shares.tuning import (
-    COUNTED_KEPT_MS,
+    COUNTED_RETENTION_MS,
     MAX_COUNTED_ASKS,
     MAX_RETRY_AFTER_MS,
 )
@@ -46,7 +46,10 @@
         self.at_ms = max(self.at_ms, now_ms)
         while self._counted:
             oldest = next(iter(self._counted.values()))
-            if now_ms - oldest.at_ms < COUNTED_KEPT_MS and len(self._counted) <= MAX_COUNTED_ASKS:
+            if (
+                now_ms - oldest.at_ms < COUNTED_RETENTION_MS
+                and len(self._counted) <= MAX_COUNTED_ASKS
+            ):
                 return
             self._counted.popitem(last=False)
 
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -23,7 +23,7 @@
 # A subject that went beyond its limit is within it again when it owes this share of it.
 WITHIN_AGAIN_SHARE = 0.5
 # What was counted is known by its ask for so long: the longest time that callers wait.
-COUNTED_KEPT_MS = 15_000
+COUNTED_RETENTION_MS = 15_000
 # Asks of one subject known at most; 0.2 KB each. Of older ones nothing is given back.
 MAX_COUNTED_ASKS = 4096
 FORGET_ACCOUNTS_EVERY_MS = 5000
