--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -12,8 +12,8 @@
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.tuning import (
+    BUCKET_EXPIRY_INTERVAL_MS,
     EARLY_SHARE,
-    FORGET_ACCOUNTS_EVERY_MS,
     NEW_HOLDER_SHARE,
     WITHIN_AGAIN_SHARE,
 )
@@ -74,7 +74,7 @@
         return max(0.0, self.capacity(share, holders) - NEW_HOLDER_SHARE * spare)
 
     def _forget_idle(self, now_ms: int) -> None:
-        if now_ms - self._forgot_ms < FORGET_ACCOUNTS_EVERY_MS:
+        if now_ms - self._forgot_ms < BUCKET_EXPIRY_INTERVAL_MS:
             return
         self._forgot_ms = now_ms
         for name, bucket in list(self.buckets.items()):
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -26,6 +26,6 @@
 COUNTED_RETENTION_MS = 15_000
 # Asks of one subject known at most; 0.2 KB each. Of older ones nothing is given back.
 MAX_COUNTED_ASKS = 4096
-FORGET_ACCOUNTS_EVERY_MS = 5000
+BUCKET_EXPIRY_INTERVAL_MS = 5000
 # Callers don't wait for longer than this, whatever they are told.
 MAX_RETRY_AFTER_MS = 30_000
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -16,8 +16,8 @@
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import (
     ALONE_SHARE,
+    BUCKET_EXPIRY_INTERVAL_MS,
     COUNTED_RETENTION_MS,
-    FORGET_ACCOUNTS_EVERY_MS,
     MAX_COUNTED_ASKS,
     SETTLED_MS,
     VIEW_LASTED_MS,
@@ -295,7 +295,7 @@
     assert len(held.buckets["o"]._counted) <= MAX_COUNTED_ASKS + 1
     for number in range(1000):
         step(held, ask_of(number, name=f"o{number}"), LIMIT, 0)
-    later_ms = COUNTED_RETENTION_MS + FORGET_ACCOUNTS_EVERY_MS
+    later_ms = COUNTED_RETENTION_MS + BUCKET_EXPIRY_INTERVAL_MS
     step(held, ask_of("x"), LIMIT, later_ms)
     assert len(held.buckets) == 1, len(held.buckets)
 
