--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -15,7 +15,7 @@
     BUCKET_EXPIRY_INTERVAL_MS,
     EARLY_SHARE,
     NEW_HOLDER_SHARE,
-    WITHIN_AGAIN_SHARE,
+    RECOVERED_SHARE,
 )
 
 __all__ = ["Event", "HolderState", "ShareChanged", "step"]
@@ -112,7 +112,7 @@
         if state.stagger_retries:
             after_ms = bucket.next_return_ms(ask.cost, after_ms, now_ms)
     answer = Answer(ask.ask_id, admitted, after_ms)
-    within = admitted and bucket.level <= WITHIN_AGAIN_SHARE * capacity
+    within = admitted and bucket.level <= RECOVERED_SHARE * capacity
     changes = within if bucket.exceeded else not admitted
     if not changes:
         return [answer]
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -21,7 +21,7 @@
 NEW_HOLDER_SHARE = 0.3
 ALONE_SHARE = 0.3
 # A subject that went beyond its limit is within it again when it owes this share of it.
-WITHIN_AGAIN_SHARE = 0.5
+RECOVERED_SHARE = 0.5
 # What was counted is known by its ask for so long: the longest time that callers wait.
 COUNTED_RETENTION_MS = 15_000
 # Asks of one subject known at most; 0.2 KB each. Of older ones nothing is given back.
