--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.shares.limits import Tolerance
 from saffronworks.forwarding.shares.messages import Ask
 from saffronworks.forwarding.shares.tuning import (
-    ALONE_SHARE,
+    NO_HOLDER_SHARE,
 )
 from saffronworks.hashing import hash32
 
@@ -37,7 +37,7 @@
     def admit(self, ask: Ask, now_ms: int) -> bool:
         """Whether a request may run; the draw is by its id, so the same at each look."""
         # Half of the part at once and half of it over a window: no window sees more than all.
-        half = ALONE_SHARE * self.tolerance.spare(ask.limit) / max(1, self.nodes) / 2
+        half = NO_HOLDER_SHARE * self.tolerance.spare(ask.limit) / max(1, self.nodes) / 2
         credit = self._credits.setdefault(ask.subject, _Credit(half, now_ms))
         grown = half * max(0, now_ms - credit.at_ms) / self.tolerance.window_ms
         credit.amount, credit.at_ms = min(half, credit.amount + grown), max(credit.at_ms, now_ms)
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -19,7 +19,7 @@
 # add up to 1, so that no message has to come in time for the bound to hold.
 EARLY_SHARE = 0.4
 NEW_HOLDER_SHARE = 0.3
-ALONE_SHARE = 0.3
+NO_HOLDER_SHARE = 0.3
 # A subject that went beyond its limit is within it again when it owes this share of it.
 RECOVERED_SHARE = 0.5
 # What was counted is known by its ask for so long: the longest time that callers wait.
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -15,10 +15,10 @@
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import (
-    ALONE_SHARE,
     BUCKET_EXPIRY_INTERVAL_MS,
     COUNTED_RETENTION_MS,
     MAX_COUNTED_ASKS,
+    NO_HOLDER_SHARE,
     SETTLED_MS,
     VIEW_LASTED_MS,
     VIEWS_DIFFER_MS,
@@ -321,7 +321,7 @@
 @then("what such nodes admit stays within their parts in the mean")
 def parts_in_the_mean(context):
     nodes, limit = 60, Limit(110_000, 110_000)
-    part = ALONE_SHARE * BOUNDS.spare(limit) / nodes
+    part = NO_HOLDER_SHARE * BOUNDS.spare(limit) / nodes
     admitted = []
     for node in range(2000):
         alone = Allowances(BOUNDS, nodes)
