--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -40,7 +40,7 @@
 from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
-from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
+from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.starts import StartId
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
@@ -290,5 +290,5 @@
         request_id,
         ask.subject,
         node,
-        HOLDER_SILENT_MS,
+        HOLDER_TIMEOUT_MS,
     )
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -20,7 +20,7 @@
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
-from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
+from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import ELSEWHERE_RETRY_MS
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
@@ -191,5 +191,5 @@
         request_id,
         ask.subject,
         node,
-        HOLDER_SILENT_MS,
+        HOLDER_TIMEOUT_MS,
     )
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.ring import HolderRing
-from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
+from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
 
 __all__ = ["SharedLimit", "ShareMessage"]
@@ -97,7 +97,7 @@
         self._arrived[ask.ask_id] = anyio.Event()
         self._tell(node, ask)
         try:
-            with anyio.move_on_after(HOLDER_SILENT_MS / 1000):
+            with anyio.move_on_after(HOLDER_TIMEOUT_MS / 1000):
                 await self._arrived[ask.ask_id].wait()
             return self._answers.pop(ask.ask_id, None)
         finally:
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -13,7 +13,7 @@
 # What was counted for a shorter time is one of the counts after a start.
 VIEW_LASTED_MS = 4500
 # A holder answers within 1 to 5 ms, on a busy VM within some ten; its request waits so long for it.
-HOLDER_SILENT_MS = 40
+HOLDER_TIMEOUT_MS = 40
 # How what is tolerated beyond limits is given out: to requests that come early or in a burst, to a
 # holder that has just started and doesn't know what ran before, to nodes that hear no holder. They
 # add up to 1, so that no message has to come in time for the bound to hold.
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -25,7 +25,7 @@
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.messages import Answer, GivenBack
 from saffronworks.forwarding.shares.ring import HolderRing
-from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
+from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
 
 __all__ = ["STRIKES", "FleetShares", "VirtualFleet"]
@@ -102,7 +102,7 @@
             proceed(Answered(node, self._hold(node, ask)))
             return
         self._fleet.send(name, node, arrived)
-        self._fleet.at(HOLDER_SILENT_MS, proceed, Unanswered(node))
+        self._fleet.at(HOLDER_TIMEOUT_MS, proceed, Unanswered(node))
 
     def _hold(self, name, event):
         limit = self._limit_of(name, event)
