--- a/saffronworks/forwarding/shares/ring.py
+++ b/saffronworks/forwarding/shares/ring.py
@@ -6,9 +6,9 @@
 import attrs
 
 from saffronworks.forwarding.shares.tuning import (
+    ESTABLISHED_VIEW_MS,
     HOLDERS,
     SETTLED_MS,
-    VIEW_LASTED_MS,
     VIEWS_DIFFER_MS,
 )
 from saffronworks.hashing import hash64
@@ -64,7 +64,7 @@
             return False
         lasted_ms = now_ms - self._changed_ms
         complete = len(self._view.nodes) >= HOLDERS
-        return lasted_ms >= (VIEW_LASTED_MS if complete else SETTLED_MS)
+        return lasted_ms >= (ESTABLISHED_VIEW_MS if complete else SETTLED_MS)
 
     def shares(self, now_ms: int) -> int:
         """Into how many shares a limit is divided."""
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -11,7 +11,7 @@
 # holders aren't asked, so that one which is away for less than 20 s is back before that.
 VIEWS_DIFFER_MS = 40_000
 # What was counted for a shorter time is one of the counts after a start.
-VIEW_LASTED_MS = 4500
+ESTABLISHED_VIEW_MS = 4500
 # A holder answers within 1 to 5 ms, on a busy VM within some ten; its request waits so long for it.
 HOLDER_TIMEOUT_MS = 40
 # How what is tolerated beyond limits is given out: to requests that come early or in a burst, to a
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -17,10 +17,10 @@
 from saffronworks.forwarding.shares.tuning import (
     BUCKET_EXPIRY_INTERVAL_MS,
     COUNTED_RETENTION_MS,
+    ESTABLISHED_VIEW_MS,
     MAX_COUNTED_ASKS,
     NO_HOLDER_SHARE,
     SETTLED_MS,
-    VIEW_LASTED_MS,
     VIEWS_DIFFER_MS,
 )
 from saffronworks.forwarding.tuning import NODE_AVOID_MS
@@ -248,8 +248,8 @@
 def asks_third(context):
     ring = HolderRing()
     ring.take(["a", "b"], 1000)
-    ring.take(["a", "b", "c"], 1000 + 2 * VIEW_LASTED_MS)
-    assert sorted(ring.asked("o", 1001 + 2 * VIEW_LASTED_MS)) == ["a", "b", "c"]
+    ring.take(["a", "b", "c"], 1000 + 2 * ESTABLISHED_VIEW_MS)
+    assert sorted(ring.asked("o", 1001 + 2 * ESTABLISHED_VIEW_MS)) == ["a", "b", "c"]
 
 
 @then("one that has divided a quota by two asks a new third one only later")
