--- a/saffronworks/forwarding/shares/ring.py
+++ b/saffronworks/forwarding/shares/ring.py
@@ -8,8 +8,8 @@
 from saffronworks.forwarding.shares.tuning import (
     ESTABLISHED_VIEW_MS,
     HOLDERS,
+    NEW_HOLDER_DELAY_MS,
     SETTLED_MS,
-    VIEWS_DIFFER_MS,
 )
 from saffronworks.hashing import hash64
 
@@ -92,5 +92,5 @@
         self._earlier = [
             view
             for view in self._earlier
-            if view.until_ms is not None and now_ms - view.until_ms < VIEWS_DIFFER_MS
+            if view.until_ms is not None and now_ms - view.until_ms < NEW_HOLDER_DELAY_MS
         ]
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -9,7 +9,7 @@
 SETTLED_MS = 30_000
 # Nodes count each other every 5 to 15 s, by answers that may be seconds old. For twice as long new
 # holders aren't asked, so that one which is away for less than 20 s is back before that.
-VIEWS_DIFFER_MS = 40_000
+NEW_HOLDER_DELAY_MS = 40_000
 # What was counted for a shorter time is one of the counts after a start.
 ESTABLISHED_VIEW_MS = 4500
 # A holder answers within 1 to 5 ms, on a busy VM within some ten; its request waits so long for it.
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -19,9 +19,9 @@
     COUNTED_RETENTION_MS,
     ESTABLISHED_VIEW_MS,
     MAX_COUNTED_ASKS,
+    NEW_HOLDER_DELAY_MS,
     NO_HOLDER_SHARE,
     SETTLED_MS,
-    VIEWS_DIFFER_MS,
 )
 from saffronworks.forwarding.tuning import NODE_AVOID_MS
 from saffronworks.tests.quota_plays import BOUNDS, GENERATION_TOKENS, Outcome, QuotaFleet
@@ -257,8 +257,8 @@
     ring, joined_ms = HolderRing(), 1000 + SETTLED_MS
     ring.take(["a", "b"], 1000)
     ring.take(["a", "b", "c"], joined_ms)
-    assert sorted(ring.asked("o", joined_ms + VIEWS_DIFFER_MS - 1)) == ["a", "b"]
-    assert sorted(ring.asked("o", joined_ms + VIEWS_DIFFER_MS)) == ["a", "b", "c"]
+    assert sorted(ring.asked("o", joined_ms + NEW_HOLDER_DELAY_MS - 1)) == ["a", "b"]
+    assert sorted(ring.asked("o", joined_ms + NEW_HOLDER_DELAY_MS)) == ["a", "b", "c"]
 
 
 @then("the holder is passed over as after one, and longer only after it was asked again")
