--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -15,7 +15,7 @@
     "Admitted",
     "Answered",
     "AskHolder",
-    "Asking",
+    "HolderQuery",
     "Begun",
     "Command",
     "EntryState",
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class Asking:
+class HolderQuery:
     """One request: which holders are left to ask, and what was heard.
 
     `heard_all` tells whether each holder answered; `retry_after_ms` is the least that was told.
@@ -99,7 +99,7 @@
 Command = AskHolder | Admitted | Refused | Unknown
 
 
-def step(state: EntryState, asking: Asking, event: Event, now_ms: int) -> Command:
+def step(state: EntryState, asking: HolderQuery, event: Event, now_ms: int) -> Command:
     """The next command for one request."""
     match event:
         case Begun():
@@ -119,7 +119,7 @@
     return _settle_unadmitted(state, asking, now_ms)
 
 
-def _choose(state: EntryState, asking: Asking, now_ms: int) -> None:
+def _choose(state: EntryState, asking: HolderQuery, now_ms: int) -> None:
     """Requests go to the holders in turn; those that were silent a moment ago are passed over."""
     holders = state.ring.holders(asking.ask.subject)
     asked = state.ring.asked(asking.ask.subject, now_ms)
@@ -129,7 +129,7 @@
     asking.heard_all = bool(holders) and len(asking.left) == len(holders)
 
 
-def _settle_unadmitted(state: EntryState, asking: Asking, now_ms: int) -> Command:
+def _settle_unadmitted(state: EntryState, asking: HolderQuery, now_ms: int) -> Command:
     """No share has room, but for those of silent holders: a little is admitted without them."""
     ask = asking.ask
     if not asking.heard_all and state.allowances.admit(ask, now_ms):
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -17,9 +17,9 @@
     Admitted,
     Answered,
     AskHolder,
-    Asking,
     Begun,
     EntryState,
+    HolderQuery,
     Unanswered,
 )
 from saffronworks.forwarding.shares.holder import HolderState
@@ -78,7 +78,7 @@
 
     def ask(self, name, ask, settle):
         """Have a node ask for leave; `settle(command)` is called with what came of it."""
-        self._step(name, Asking(ask), Begun(), settle)
+        self._step(name, HolderQuery(ask), Begun(), settle)
 
     def _step(self, name, asking, event, settle):
         match entry.step(self.nodes[name].entry, asking, event, self._fleet.now_ms):
