--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -1,6 +1,6 @@
 """Decides at an entry node which holders of a bound to ask, and what holds when none answers.
 
-`step(state, asking, event, now_ms)` gives the next command for one request.
+`step(state, query, event, now_ms)` gives the next command for one request.
 """
 
 import attrs
@@ -99,41 +99,41 @@
 Command = AskHolder | Admitted | Refused | Unknown
 
 
-def step(state: EntryState, asking: HolderQuery, event: Event, now_ms: int) -> Command:
+def step(state: EntryState, query: HolderQuery, event: Event, now_ms: int) -> Command:
     """The next command for one request."""
     match event:
         case Begun():
-            _choose(state, asking, now_ms)
+            _choose(state, query, now_ms)
         case Answered(holder, answer):
             state.choice.hear(holder)
             if answer.admitted:
                 return Admitted(holder)
-            known_ms = asking.retry_after_ms
+            known_ms = query.retry_after_ms
             told_ms = answer.retry_after_ms
-            asking.retry_after_ms = told_ms if known_ms is None else min(known_ms, told_ms)
+            query.retry_after_ms = told_ms if known_ms is None else min(known_ms, told_ms)
         case Unanswered(holder):
             state.choice.avoid(holder, now_ms)
-            asking.heard_all = False
-    if asking.left:
-        return AskHolder(asking.left.pop(0))
-    return _settle_unadmitted(state, asking, now_ms)
+            query.heard_all = False
+    if query.left:
+        return AskHolder(query.left.pop(0))
+    return _settle_unadmitted(state, query, now_ms)
 
 
-def _choose(state: EntryState, asking: HolderQuery, now_ms: int) -> None:
+def _choose(state: EntryState, query: HolderQuery, now_ms: int) -> None:
     """Requests go to the holders in turn; those that were silent a moment ago are passed over."""
-    holders = state.ring.holders(asking.ask.subject)
-    asked = state.ring.asked(asking.ask.subject, now_ms)
-    turn = hash32(asking.ask.ask_id) % max(1, len(asked))
+    holders = state.ring.holders(query.ask.subject)
+    asked = state.ring.asked(query.ask.subject, now_ms)
+    turn = hash32(query.ask.ask_id) % max(1, len(asked))
     in_turn = asked[turn:] + asked[:turn]
-    asking.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
-    asking.heard_all = bool(holders) and len(asking.left) == len(holders)
+    query.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
+    query.heard_all = bool(holders) and len(query.left) == len(holders)
 
 
-def _settle_unadmitted(state: EntryState, asking: HolderQuery, now_ms: int) -> Command:
+def _settle_unadmitted(state: EntryState, query: HolderQuery, now_ms: int) -> Command:
     """No share has room, but for those of silent holders: a little is admitted without them."""
-    ask = asking.ask
-    if not asking.heard_all and state.allowances.admit(ask, now_ms):
+    ask = query.ask
+    if not query.heard_all and state.allowances.admit(ask, now_ms):
         return Admitted(None)
-    if asking.retry_after_ms is None:
+    if query.retry_after_ms is None:
         return Unknown()
-    return Refused(asking.retry_after_ms)
+    return Refused(query.retry_after_ms)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -78,13 +78,13 @@
 
     async def acquire(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
         """Whether what is asked for may run: `Admitted`, `Refused` or `Unknown`."""
-        asking = HolderQuery(ask)
-        command = entry.step(self.entry, asking, Begun(), self._now_ms())
+        query = HolderQuery(ask)
+        command = entry.step(self.entry, query, Begun(), self._now_ms())
         while isinstance(command, AskHolder):
             event = await self._ask(command.holder, ask)
             if isinstance(event, entry.Unanswered):
                 note_silent(command.holder)
-            command = entry.step(self.entry, asking, event, self._now_ms())
+            command = entry.step(self.entry, query, event, self._now_ms())
         return command
 
     async def _ask(self, node: str, ask: Ask) -> entry.Event:
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -80,19 +80,19 @@
         """Have a node ask for leave; `settle(command)` is called with what came of it."""
         self._step(name, HolderQuery(ask), Begun(), settle)
 
-    def _step(self, name, asking, event, settle):
-        match entry.step(self.nodes[name].entry, asking, event, self._fleet.now_ms):
+    def _step(self, name, query, event, settle):
+        match entry.step(self.nodes[name].entry, query, event, self._fleet.now_ms):
             case AskHolder(node):
-                self._ask(name, asking, node, settle)
+                self._ask(name, query, node, settle)
             case command:
                 settle(command)
 
-    def _ask(self, name, asking, node, settle):
-        ask, waiting = asking.ask, [True]
+    def _ask(self, name, query, node, settle):
+        ask, waiting = query.ask, [True]
 
         def proceed(event):
             if waiting and waiting.pop():
-                self._step(name, asking, event, settle)
+                self._step(name, query, event, settle)
 
         def arrived():
             answer = Answered(node, self._hold(node, ask))
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -39,11 +39,11 @@
     asks = [Ask(f"{n:x}", name, 200, LIMIT, 3) for n, name in enumerate(names)]
     began_s = time.perf_counter()
     for number, ask in enumerate(asks):
-        asking = HolderQuery(ask)
-        command = entry.step(at_entry, asking, Begun(), number)
+        query = HolderQuery(ask)
+        command = entry.step(at_entry, query, Begun(), number)
         assert isinstance(command, entry.AskHolder)
         answer = Answered(command.holder, Answer(ask.ask_id, admitted=True))
-        entry.step(at_entry, asking, answer, number)
+        entry.step(at_entry, query, answer, number)
     entry_s = time.perf_counter() - began_s
     began_s = time.perf_counter()
     for number, ask in enumerate(asks):
