--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -16,7 +16,7 @@
     "Answered",
     "AskHolder",
     "HolderQuery",
-    "Begun",
+    "QueryStarted",
     "Command",
     "EntryState",
     "Event",
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Begun:
+class QueryStarted:
     """A request is to be counted."""
 
 
@@ -95,14 +95,14 @@
     """No holder answered, and this node may admit no more by itself."""
 
 
-Event = Begun | Answered | Unanswered
+Event = QueryStarted | Answered | Unanswered
 Command = AskHolder | Admitted | Refused | Unknown
 
 
 def step(state: EntryState, query: HolderQuery, event: Event, now_ms: int) -> Command:
     """The next command for one request."""
     match event:
-        case Begun():
+        case QueryStarted():
             _choose(state, query, now_ms)
         case Answered(holder, answer):
             state.choice.hear(holder)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.entry import AskHolder, Begun, EntryState, HolderQuery
+from saffronworks.forwarding.shares.entry import AskHolder, EntryState, HolderQuery, QueryStarted
 from saffronworks.forwarding.shares.holder import HolderState, ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
@@ -79,7 +79,7 @@
     async def acquire(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
         """Whether what is asked for may run: `Admitted`, `Refused` or `Unknown`."""
         query = HolderQuery(ask)
-        command = entry.step(self.entry, query, Begun(), self._now_ms())
+        command = entry.step(self.entry, query, QueryStarted(), self._now_ms())
         while isinstance(command, AskHolder):
             event = await self._ask(command.holder, ask)
             if isinstance(event, entry.Unanswered):
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -17,9 +17,9 @@
     Admitted,
     Answered,
     AskHolder,
-    Begun,
     EntryState,
     HolderQuery,
+    QueryStarted,
     Unanswered,
 )
 from saffronworks.forwarding.shares.holder import HolderState
@@ -78,7 +78,7 @@
 
     def ask(self, name, ask, settle):
         """Have a node ask for leave; `settle(command)` is called with what came of it."""
-        self._step(name, HolderQuery(ask), Begun(), settle)
+        self._step(name, HolderQuery(ask), QueryStarted(), settle)
 
     def _step(self, name, query, event, settle):
         match entry.step(self.nodes[name].entry, query, event, self._fleet.now_ms):
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -5,7 +5,7 @@
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.entry import Answered, Begun, EntryState, HolderQuery
+from saffronworks.forwarding.shares.entry import Answered, EntryState, HolderQuery, QueryStarted
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.messages import Answer, Ask
@@ -40,7 +40,7 @@
     began_s = time.perf_counter()
     for number, ask in enumerate(asks):
         query = HolderQuery(ask)
-        command = entry.step(at_entry, query, Begun(), number)
+        command = entry.step(at_entry, query, QueryStarted(), number)
         assert isinstance(command, entry.AskHolder)
         answer = Answered(command.holder, Answer(ask.ask_id, admitted=True))
         entry.step(at_entry, query, answer, number)
