--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -21,7 +21,7 @@
     "EntryState",
     "Event",
     "Refused",
-    "Unanswered",
+    "HolderTimedOut",
     "Unknown",
     "step",
 ]
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Unanswered:
+class HolderTimedOut:
     """A holder was silent."""
 
     holder: str
@@ -95,7 +95,7 @@
     """No holder answered, and this node may admit no more by itself."""
 
 
-Event = QueryStarted | Answered | Unanswered
+Event = QueryStarted | Answered | HolderTimedOut
 Command = AskHolder | Admitted | Refused | Unknown
 
 
@@ -111,7 +111,7 @@
             known_ms = query.retry_after_ms
             told_ms = answer.retry_after_ms
             query.retry_after_ms = told_ms if known_ms is None else min(known_ms, told_ms)
-        case Unanswered(holder):
+        case HolderTimedOut(holder):
             state.choice.avoid(holder, now_ms)
             query.heard_all = False
     if query.left:
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -82,7 +82,7 @@
         command = entry.step(self.entry, query, QueryStarted(), self._now_ms())
         while isinstance(command, AskHolder):
             event = await self._ask(command.holder, ask)
-            if isinstance(event, entry.Unanswered):
+            if isinstance(event, entry.HolderTimedOut):
                 note_silent(command.holder)
             command = entry.step(self.entry, query, event, self._now_ms())
         return command
@@ -91,7 +91,7 @@
         """Have a holder count an ask; it may be this node."""
         own = node == self._own_address
         answer = self.apply(ask) if own else await self._ask_other(node, ask)
-        return entry.Answered(node, answer) if answer is not None else entry.Unanswered(node)
+        return entry.Answered(node, answer) if answer is not None else entry.HolderTimedOut(node)
 
     async def _ask_other(self, node: str, ask: Ask) -> Answer | None:
         self._arrived[ask.ask_id] = anyio.Event()
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -19,8 +19,8 @@
     AskHolder,
     EntryState,
     HolderQuery,
+    HolderTimedOut,
     QueryStarted,
-    Unanswered,
 )
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.messages import Answer, GivenBack
@@ -102,7 +102,7 @@
             proceed(Answered(node, self._hold(node, ask)))
             return
         self._fleet.send(name, node, arrived)
-        self._fleet.at(HOLDER_TIMEOUT_MS, proceed, Unanswered(node))
+        self._fleet.at(HOLDER_TIMEOUT_MS, proceed, HolderTimedOut(node))
 
     def _hold(self, name, event):
         limit = self._limit_of(name, event)
