--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -45,7 +45,7 @@
 
     ask: Ask
     left: list[str] = attrs.Factory(list)
-    heard_all: bool = True
+    all_answered: bool = True
     retry_after_ms: int | None = None
 
 
@@ -113,7 +113,7 @@
             query.retry_after_ms = told_ms if known_ms is None else min(known_ms, told_ms)
         case HolderTimedOut(holder):
             state.choice.avoid(holder, now_ms)
-            query.heard_all = False
+            query.all_answered = False
     if query.left:
         return AskHolder(query.left.pop(0))
     return _settle_unadmitted(state, query, now_ms)
@@ -126,13 +126,13 @@
     turn = hash32(query.ask.ask_id) % max(1, len(asked))
     in_turn = asked[turn:] + asked[:turn]
     query.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
-    query.heard_all = bool(holders) and len(query.left) == len(holders)
+    query.all_answered = bool(holders) and len(query.left) == len(holders)
 
 
 def _settle_unadmitted(state: EntryState, query: HolderQuery, now_ms: int) -> Command:
     """No share has room, but for those of silent holders: a little is admitted without them."""
     ask = query.ask
-    if not query.heard_all and state.allowances.admit(ask, now_ms):
+    if not query.all_answered and state.allowances.admit(ask, now_ms):
         return Admitted(None)
     if query.retry_after_ms is None:
         return Unknown()
