--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -122,9 +122,9 @@
 def _choose(state: EntryState, query: HolderQuery, now_ms: int) -> None:
     """Requests go to the holders in turn; those that were silent a moment ago are passed over."""
     holders = state.ring.holders(query.ask.subject)
-    asked = state.ring.asked(query.ask.subject, now_ms)
-    turn = hash32(query.ask.ask_id) % max(1, len(asked))
-    in_turn = asked[turn:] + asked[:turn]
+    active = state.ring.active_holders(query.ask.subject, now_ms)
+    turn = hash32(query.ask.ask_id) % max(1, len(active))
+    in_turn = active[turn:] + active[:turn]
     query.left = [node for node in in_turn if not state.choice.passes_over(node, now_ms)]
     query.all_answered = bool(holders) and len(query.left) == len(holders)
 
--- a/saffronworks/forwarding/shares/ring.py
+++ b/saffronworks/forwarding/shares/ring.py
@@ -75,7 +75,7 @@
         """The nodes among which its limit is shared out; none before nodes are known."""
         return self._view.holders(subject)
 
-    def asked(self, subject: str, now_ms: int) -> list[str]:
+    def active_holders(self, subject: str, now_ms: int) -> list[str]:
         """Of its holders, those that were some before the changes of the last time as well.
 
         Nodes that know different holders would else use more than three shares between them. One
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -88,7 +88,11 @@
     for fleet in context.fleets:
         for node in fleet.shares.nodes.values():
             ring = node.entry.ring
-            assert ring.asked("org0", fleet.now_ms) == ring.holders("org0") == fleet.holders("org0")
+            assert (
+                ring.active_holders("org0", fleet.now_ms)
+                == ring.holders("org0")
+                == fleet.holders("org0")
+            )
 
 
 @given("a quota fleet of {nodes:d} nodes")
@@ -249,7 +253,7 @@
     ring = HolderRing()
     ring.take(["a", "b"], 1000)
     ring.take(["a", "b", "c"], 1000 + 2 * ESTABLISHED_VIEW_MS)
-    assert sorted(ring.asked("o", 1001 + 2 * ESTABLISHED_VIEW_MS)) == ["a", "b", "c"]
+    assert sorted(ring.active_holders("o", 1001 + 2 * ESTABLISHED_VIEW_MS)) == ["a", "b", "c"]
 
 
 @then("one that has divided a quota by two asks a new third one only later")
@@ -257,8 +261,8 @@
     ring, joined_ms = HolderRing(), 1000 + SETTLED_MS
     ring.take(["a", "b"], 1000)
     ring.take(["a", "b", "c"], joined_ms)
-    assert sorted(ring.asked("o", joined_ms + NEW_HOLDER_DELAY_MS - 1)) == ["a", "b"]
-    assert sorted(ring.asked("o", joined_ms + NEW_HOLDER_DELAY_MS)) == ["a", "b", "c"]
+    assert sorted(ring.active_holders("o", joined_ms + NEW_HOLDER_DELAY_MS - 1)) == ["a", "b"]
+    assert sorted(ring.active_holders("o", joined_ms + NEW_HOLDER_DELAY_MS)) == ["a", "b", "c"]
 
 
 @then("the holder is passed over as after one, and longer only after it was asked again")
