--- a/saffronworks/forwarding/shares/ring.py
+++ b/saffronworks/forwarding/shares/ring.py
@@ -43,7 +43,7 @@
     _earlier: list[_View] = attrs.Factory(list)
     _changed_ms: int | None = None
 
-    def take(self, nodes: Iterable[str], now_ms: int) -> None:
+    def update(self, nodes: Iterable[str], now_ms: int) -> None:
         """Which nodes there are from now on."""
         ordered = sorted((hash64(node), node) for node in nodes)
         newest = _View([point for point, _ in ordered], [node for _, node in ordered])
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -68,7 +68,7 @@
         if cores.keys() != self.entry.choice.cores.keys():
             self.holder_state.update_nodes(now_ms)
         self.entry.choice.cores = cores
-        self.entry.ring.take(cores, now_ms)
+        self.entry.ring.update(cores, now_ms)
         self.entry.allowances.nodes = max(1, len(cores))
 
     def make_ask(self, subject: str, cost: int, limit: Limit) -> Ask:
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -235,32 +235,32 @@
 def divides_by_three(context):
     ring = HolderRing()
     assert ring.shares(0) == 3
-    ring.take(["a", "b", "c"], 1000)
-    ring.take(["b"], 2000)
-    ring.take(["b"], 9000)
+    ring.update(["a", "b", "c"], 1000)
+    ring.update(["b"], 2000)
+    ring.update(["b"], 9000)
     # The longest time between two counts, twice: the other's and this node's.
     assert ring.shares(2000 + 29_999) == 3 and ring.shares(2000 + 30_000) == 1
-    ring.take(["a", "b"], 40_000)
+    ring.update(["a", "b"], 40_000)
     assert ring.shares(40_001) == 3 and ring.shares(70_000) == 2
     assert ring.holders("o") in (["a", "b"], ["b", "a"])
     for turn in range(100):
-        ring.take(["a", "b", f"c{turn}"], 100_000 + 5000 * turn)
+        ring.update(["a", "b", f"c{turn}"], 100_000 + 5000 * turn)
     assert len(ring._earlier) <= 9, "views that are long over are forgotten"
 
 
 @then("it asks the third one as soon as it counts it")
 def asks_third(context):
     ring = HolderRing()
-    ring.take(["a", "b"], 1000)
-    ring.take(["a", "b", "c"], 1000 + 2 * ESTABLISHED_VIEW_MS)
+    ring.update(["a", "b"], 1000)
+    ring.update(["a", "b", "c"], 1000 + 2 * ESTABLISHED_VIEW_MS)
     assert sorted(ring.active_holders("o", 1001 + 2 * ESTABLISHED_VIEW_MS)) == ["a", "b", "c"]
 
 
 @then("one that has divided a quota by two asks a new third one only later")
 def asks_third_later(context):
     ring, joined_ms = HolderRing(), 1000 + SETTLED_MS
-    ring.take(["a", "b"], 1000)
-    ring.take(["a", "b", "c"], joined_ms)
+    ring.update(["a", "b"], 1000)
+    ring.update(["a", "b", "c"], joined_ms)
     assert sorted(ring.active_holders("o", joined_ms + NEW_HOLDER_DELAY_MS - 1)) == ["a", "b"]
     assert sorted(ring.active_holders("o", joined_ms + NEW_HOLDER_DELAY_MS)) == ["a", "b", "c"]
 
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -73,7 +73,7 @@
     def lose(self, name, gone):
         """A node has counted the others, and these are gone; new holders are there."""
         now_ms, left = self._fleet.now_ms, [node for node in self._fleet.names if node not in gone]
-        self.nodes[name].entry.ring.take(left, now_ms)
+        self.nodes[name].entry.ring.update(left, now_ms)
         self.nodes[name].holder_state.update_nodes(now_ms)
 
     def ask(self, name, ask, settle):
@@ -132,7 +132,7 @@
             for number, name in enumerate(self.names)
         }
         self.ring = HolderRing()
-        self.ring.take(self.names, 0)
+        self.ring.update(self.names, 0)
         self.live = list(self.names[:count])
         self.away.update(self.names[count:])
 
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -30,7 +30,7 @@
 
 def _measure(nodes: int, organisations: int) -> tuple[float, float]:
     ring = HolderRing()
-    ring.take((f"10.0.{n // 250}.{n % 250}:1" for n in range(nodes)), 0)
+    ring.update((f"10.0.{n // 250}.{n % 250}:1" for n in range(nodes)), 0)
     at_entry = EntryState(NodeChoice(), ring, Allowances(BOUNDS, nodes))
     held = HolderState(BOUNDS, -BOUNDS.window_ms)
     # A node meets the large ones most: half of all requests are those of one in ten.
