--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.shares.messages import Ask
+from saffronworks.forwarding.shares.events import Ask
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["UNCOUNTED_PERMIT", "NOT_LIMITED", "Limited", "NoPermit", "Permit"]
--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -36,9 +36,9 @@
 from saffronworks.forwarding.neighbours import Neighbours
 from saffronworks.forwarding.shares import holder
 from saffronworks.forwarding.shares.entry import Admitted, Refused
+from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit
-from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.starts import StartId
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -16,9 +16,9 @@
 from saffronworks.forwarding.routing import RoutingTable
 from saffronworks.forwarding.shares import holder
 from saffronworks.forwarding.shares.entry import Admitted, Command, Refused
+from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
-from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import ELSEWHERE_RETRY_MS
--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from saffronworks.forwarding.shares.events import Ask
 from saffronworks.forwarding.shares.limits import Tolerance
-from saffronworks.forwarding.shares.messages import Ask
 from saffronworks.forwarding.shares.tuning import (
     NO_HOLDER_SHARE,
 )
--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.messages import Answer, Ask
+from saffronworks.forwarding.shares.events import Answer, Ask
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.hashing import hash32
 
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -9,8 +9,8 @@
 import attrs
 
 from saffronworks.forwarding.shares.buckets import LeakyBucket
+from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
-from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.tuning import (
     BUCKET_EXPIRY_INTERVAL_MS,
     EARLY_SHARE,
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -10,9 +10,9 @@
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.entry import AskHolder, EntryState, HolderQuery, QueryStarted
+from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.holder import HolderState, ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
-from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack, RunAgain
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -10,9 +10,9 @@
 
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares.allowances import Allowances
+from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.holder import HolderState, step
 from saffronworks.forwarding.shares.limits import Limit
-from saffronworks.forwarding.shares.messages import Answer, Ask, GivenBack
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import (
     BUCKET_EXPIRY_INTERVAL_MS,
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -20,8 +20,8 @@
 from saffronworks.forwarding.endpoint_limits.updates import PendingUpdates
 from saffronworks.forwarding.neighbours import Neighbours
 from saffronworks.forwarding.shares.entry import Admitted, Refused
+from saffronworks.forwarding.shares.events import Ask
 from saffronworks.forwarding.shares.limits import Limit
-from saffronworks.forwarding.shares.messages import Ask
 from saffronworks.tests.virtual_fleet import FleetShares, VirtualFleet
 
 __all__ = ["ENDPOINT", "LimitFleet"]
--- a/saffronworks/tests/quota_plays.py
+++ b/saffronworks/tests/quota_plays.py
@@ -10,8 +10,8 @@
 import attrs
 
 from saffronworks.forwarding.shares.entry import Admitted
+from saffronworks.forwarding.shares.events import Ask
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
-from saffronworks.forwarding.shares.messages import Ask
 from saffronworks.tests.virtual_fleet import FleetShares, VirtualFleet
 
 __all__ = ["BOUNDS", "Outcome", "QuotaFleet", "Request", "usual_organisations"]
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -22,8 +22,8 @@
     HolderTimedOut,
     QueryStarted,
 )
+from saffronworks.forwarding.shares.events import Answer, GivenBack
 from saffronworks.forwarding.shares.holder import HolderState
-from saffronworks.forwarding.shares.messages import Answer, GivenBack
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
--- a/tools/quota_bench.py
+++ b/tools/quota_bench.py
@@ -6,9 +6,9 @@
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.entry import Answered, EntryState, HolderQuery, QueryStarted
+from saffronworks.forwarding.shares.events import Answer, Ask
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
-from saffronworks.forwarding.shares.messages import Answer, Ask
 from saffronworks.forwarding.shares.ring import HolderRing
 
 __all__ = ["print_quotas"]
