--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -57,7 +57,7 @@
         """Whether a request is counted already."""
         return ask_id in self._counted
 
-    def has_room(self, cost: int, capacity: float) -> bool:
+    def fits(self, cost: int, capacity: float) -> bool:
         """Whether a request fits; one larger than the whole capacity does when nothing is owed."""
         return self.level + cost <= capacity or not self.level
 
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -103,7 +103,7 @@
     state: HolderState, bucket: LeakyBucket, ask: Ask, share: Limit, now_ms: int
 ) -> list[Answer | ShareChanged]:
     capacity = state.capacity(share, ask.holders)
-    admitted = bucket.has_counted(ask.ask_id) or bucket.has_room(ask.cost, capacity)
+    admitted = bucket.has_counted(ask.ask_id) or bucket.fits(ask.cost, capacity)
     after_ms = 0
     if admitted:
         bucket.count(ask.ask_id, ask.cost, now_ms)
