--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -36,7 +36,7 @@
 from saffronworks.forwarding.neighbours import Neighbours
 from saffronworks.forwarding.shares import holder
 from saffronworks.forwarding.shares.entry import Admitted, Refused
-from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack
+from saffronworks.forwarding.shares.events import Answer, Ask, Refund
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
@@ -232,7 +232,7 @@
                     reply_to, Ask(ask_id, heard.endpoint, calls, limit, holders)
                 )
             case SendGivenBack(ask_id, endpoint, holders):
-                self.shared_limit.apply(GivenBack(ask_id, endpoint, holders))
+                self.shared_limit.apply(Refund(ask_id, endpoint, holders))
             case LimitNews(limits):
                 for heard in limits:
                     self._on_update(heard)
@@ -246,7 +246,7 @@
                 self._post(node, SendAsk(ask_id, self._own_address, heard, calls, holders))
             case Answer(ask_id, admitted, retry_after_ms):
                 self._post(node, SendAnswer(ask_id, admitted, retry_after_ms))
-            case GivenBack(ask_id, subject, holders):
+            case Refund(ask_id, subject, holders):
                 self._post(node, SendGivenBack(ask_id, StartId(subject), holders))
 
     def _told_of(self, instance: StartId) -> HeardLimit | None:
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -16,7 +16,7 @@
 from saffronworks.forwarding.routing import RoutingTable
 from saffronworks.forwarding.shares import holder
 from saffronworks.forwarding.shares.entry import Admitted, Command, Refused
-from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
+from saffronworks.forwarding.shares.events import Answer, Ask, ChargeAgain, Refund
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.shared_limit import SharedLimit, ShareMessage
@@ -99,7 +99,7 @@
         """A request runs at another endpoint as well: the `number`th send of it."""
         if charge.ask is not None and charge.holder is not None:
             ask = charge.ask
-            again = RunAgain(f"{ask.ask_id}#{number}", ask.subject, ask.cost, ask.holders)
+            again = ChargeAgain(f"{ask.ask_id}#{number}", ask.subject, ask.cost, ask.holders)
             self.shared_limit.send(charge.holder, again)
 
     def refund(self, charge: QuotaCharge) -> None:
@@ -164,9 +164,9 @@
                 ask = Ask(ask_id, organisation, cost, Limit(per_s, burst), holders)
                 self.shared_limit.answer(reply_to, ask)
             case QuotaRunAgain(ask_id, organisation, cost, holders):
-                self.shared_limit.apply(RunAgain(ask_id, organisation, cost, holders))
+                self.shared_limit.apply(ChargeAgain(ask_id, organisation, cost, holders))
             case QuotaGivenBack(ask_id, organisation, holders):
-                self.shared_limit.apply(GivenBack(ask_id, organisation, holders))
+                self.shared_limit.apply(Refund(ask_id, organisation, holders))
 
     def _tell(self, node: str, told: ShareMessage) -> None:
         if self._kernel is not None:
@@ -178,9 +178,9 @@
         match told:
             case Ask(ask_id, subject, cost, Limit(per_s, burst), holders):
                 return QuotaAsk(ask_id, self._own_address, subject, cost, per_s, burst, holders)
-            case RunAgain(ask_id, subject, cost, holders):
+            case ChargeAgain(ask_id, subject, cost, holders):
                 return QuotaRunAgain(ask_id, subject, cost, holders)
-            case GivenBack(ask_id, subject, holders):
+            case Refund(ask_id, subject, holders):
                 return QuotaGivenBack(ask_id, subject, holders)
         return QuotaAnswer(told.ask_id, told.admitted, told.retry_after_ms)
 
--- a/saffronworks/forwarding/shares/events.py
+++ b/saffronworks/forwarding/shares/events.py
@@ -4,7 +4,7 @@
 
 from saffronworks.forwarding.shares.limits import Limit
 
-__all__ = ["Answer", "Ask", "GivenBack", "RunAgain"]
+__all__ = ["Answer", "Ask", "Refund", "ChargeAgain"]
 
 
 @attrs.frozen
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class RunAgain:
+class ChargeAgain:
     """Entry to holder: what was admitted is run once more, and counts once more."""
 
     ask_id: str
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class GivenBack:
+class Refund:
     """Entry to holder: what it admitted was not run."""
 
     ask_id: str
--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -9,7 +9,7 @@
 import attrs
 
 from saffronworks.forwarding.shares.buckets import LeakyBucket
-from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
+from saffronworks.forwarding.shares.events import Answer, Ask, ChargeAgain, Refund
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.tuning import (
     BUCKET_EXPIRY_INTERVAL_MS,
@@ -31,7 +31,7 @@
     share: Limit
 
 
-Event = Ask | RunAgain | GivenBack
+Event = Ask | ChargeAgain | Refund
 
 
 @attrs.define
@@ -92,9 +92,9 @@
     match event:
         case Ask():
             return _answer(state, bucket, event, share, now_ms)
-        case RunAgain():
+        case ChargeAgain():
             bucket.count(event.ask_id, event.cost, now_ms)
-        case GivenBack():
+        case Refund():
             bucket.refund(event.ask_id)
     return []
 
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.shares import entry, holder
 from saffronworks.forwarding.shares.allowances import Allowances
 from saffronworks.forwarding.shares.entry import AskHolder, EntryState, HolderQuery, QueryStarted
-from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack, RunAgain
+from saffronworks.forwarding.shares.events import Answer, Ask, ChargeAgain, Refund
 from saffronworks.forwarding.shares.holder import HolderState, ShareChanged
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.ring import HolderRing
@@ -19,7 +19,7 @@
 
 __all__ = ["SharedLimit", "ShareMessage"]
 
-ShareMessage = Ask | Answer | RunAgain | GivenBack
+ShareMessage = Ask | Answer | ChargeAgain | Refund
 
 
 class SharedLimit:
@@ -103,7 +103,7 @@
         finally:
             del self._arrived[ask.ask_id]
 
-    def send(self, node: str, event: RunAgain | GivenBack) -> None:
+    def send(self, node: str, event: ChargeAgain | Refund) -> None:
         """Tell a holder, which may be this node, what became of something that it admitted."""
         if node == self._own_address:
             self.apply(event)
@@ -113,7 +113,7 @@
     def refund(self, ask: Ask | None, node: str | None) -> None:
         """What a holder admitted was not run; nothing is told where no holder counted it."""
         if ask is not None and node is not None:
-            self.send(node, GivenBack(ask.ask_id, ask.subject, ask.holders))
+            self.send(node, Refund(ask.ask_id, ask.subject, ask.holders))
 
     def handle_answer(self, answer: Answer) -> None:
         """A holder answered."""
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -10,7 +10,7 @@
 
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.shares.allowances import Allowances
-from saffronworks.forwarding.shares.events import Answer, Ask, GivenBack
+from saffronworks.forwarding.shares.events import Answer, Ask, Refund
 from saffronworks.forwarding.shares.holder import HolderState, step
 from saffronworks.forwarding.shares.limits import Limit
 from saffronworks.forwarding.shares.ring import HolderRing
@@ -226,8 +226,8 @@
     for number in (1, 2, 3):
         step(held, ask_of(number), LIMIT, 0)
     for _ in range(3):
-        step(held, GivenBack("r1", "o", 1), LIMIT, 0)
-        step(held, GivenBack("r9", "o", 1), LIMIT, 0)
+        step(held, Refund("r1", "o", 1), LIMIT, 0)
+        step(held, Refund("r9", "o", 1), LIMIT, 0)
     assert held.buckets["o"].level == 100
 
 
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -22,7 +22,7 @@
     HolderTimedOut,
     QueryStarted,
 )
-from saffronworks.forwarding.shares.events import Answer, GivenBack
+from saffronworks.forwarding.shares.events import Answer, Refund
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
@@ -112,7 +112,7 @@
     def refund(self, name, ask, command):
         """What was admitted was not run."""
         if isinstance(command, Admitted) and command.holder is not None:
-            back = GivenBack(ask.ask_id, ask.subject, ask.holders)
+            back = Refund(ask.ask_id, ask.subject, ask.holders)
             self._fleet.send(name, command.holder, self._hold, command.holder, back)
 
 
