--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -87,7 +87,7 @@
     # The nodes that hear from this one.
     neighbours: Neighbours = attrs.field(init=False)
     table: SuspicionTable = attrs.Factory(SuspicionTable)
-    looks: dict[StartId, _OpenLook] = attrs.Factory(dict)
+    probes: dict[StartId, _OpenLook] = attrs.Factory(dict)
     told_ms: int = 0
     forgot_ms: int = 0
 
@@ -153,22 +153,22 @@
     instance = event.endpoint.instance
     if event.cause is BreakCause.RESTARTED:
         return _add_ends(state, {event.content}, instance, now_ms)
-    if instance in state.looks:
-        state.looks[instance].contents.add(event.content)
+    if instance in state.probes:
+        state.probes[instance].contents.add(event.content)
         return []
-    state.looks[instance] = _OpenLook(event.endpoint, {event.content})
+    state.probes[instance] = _OpenLook(event.endpoint, {event.content})
     return [Probe(event.endpoint, 0)]
 
 
 def _take_look(state: QuarantineState, event: ProbeFinished, now_ms: int) -> list[Command]:
-    look = state.looks[event.instance]
+    look = state.probes[event.instance]
     look.refused += event.found is ProbeResult.REFUSES
     look.silent += event.found is ProbeResult.SILENT
     if event.found is ProbeResult.REFUSES and look.refused < REFUSED_PROBES:
         return [Probe(look.endpoint, REFUSED_PROBE_INTERVAL_MS)]
     if event.found is ProbeResult.SILENT and look.silent < SILENT_PROBES:
         return [Probe(look.endpoint, SILENT_PROBE_INTERVAL_MS)]
-    del state.looks[event.instance]
+    del state.probes[event.instance]
     if event.found is not ProbeResult.REFUSES and not event.found.ended:
         return []
     ended = EndpointEnded(event.instance, len(look.contents), event.found)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -145,7 +145,7 @@
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(DEADLY) is not None) is shows, found
-        assert not state.looks
+        assert not state.probes
     for cause in (BreakCause.CONNECT, BreakCause.NOT_HTTP, BreakCause.OUT_OF_ORDER):
         assert not step(alone(), broke(cause=cause), 0), cause
 
