--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -169,7 +169,7 @@
     if event.found is ProbeResult.SILENT and look.silent < SILENT_PROBES:
         return [Probe(look.endpoint, SILENT_PROBE_INTERVAL_MS)]
     del state.probes[event.instance]
-    if event.found is not ProbeResult.REFUSES and not event.found.ended:
+    if event.found is not ProbeResult.REFUSES and not event.found.proves_end:
         return []
     ended = EndpointEnded(event.instance, len(look.contents), event.found)
     return [ended, *_add_ends(state, look.contents, event.instance, now_ms)]
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -38,12 +38,12 @@
     SILENT = "silent"
     # Silent, and the store lists it no more.
     GONE = "gone"
-    STARTED_AGAIN = "started-again"
+    RESTARTED = "started-again"
 
     @property
-    def ended(self) -> bool:
+    def proves_end(self) -> bool:
         """Whether it shows by itself that the endpoint has ended."""
-        return self in (ProbeResult.GONE, ProbeResult.STARTED_AGAIN)
+        return self in (ProbeResult.GONE, ProbeResult.RESTARTED)
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -178,7 +178,7 @@
         listens = await self._calls.listens(endpoint)
         latest = self._directory.named(endpoint.name)
         if latest is not None and latest.instance != endpoint.instance:
-            return ProbeResult.STARTED_AGAIN
+            return ProbeResult.RESTARTED
         if listens is None:
             return ProbeResult.GONE if latest is None else ProbeResult.SILENT
         return ProbeResult.LISTENS if listens else ProbeResult.REFUSES
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -124,8 +124,8 @@
     instance = endpoint_at(1).instance
     for found, shows in (
         ((ProbeResult.REFUSES, ProbeResult.REFUSES), True),
-        ((ProbeResult.STARTED_AGAIN,), True),
-        ((ProbeResult.REFUSES, ProbeResult.STARTED_AGAIN), True),
+        ((ProbeResult.RESTARTED,), True),
+        ((ProbeResult.REFUSES, ProbeResult.RESTARTED), True),
         ((ProbeResult.REFUSES, ProbeResult.LISTENS), False),
         ((ProbeResult.LISTENS,), False),
         ((ProbeResult.SILENT, ProbeResult.LISTENS), False),
