--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -1,9 +1,9 @@
-"""Decisions of one node on contents that end endpoints: when an end is shown, and who hears of it.
+"""Decides which request contents to quarantine because endpoints crash while running them.
 
-`step(state, event, now_ms)` gives commands. A run that breaks shows no end of its endpoint: links
-are lossy and answers are broken off. That the endpoint refuses connections, twice, or has started
-again, does. Three nodes, chosen by the content, put the ends together that entry nodes saw, so
-that an end costs a message or two a run. What is serious then goes from node to node.
+`step(state, event, now_ms)` returns commands. A failed run alone doesn't prove that its endpoint
+ended, as links lose data and answers are cut off. Two refused connections or a restart do. Entry
+nodes report ends to three owners of a content, chosen by hash, so that an end costs one or two
+messages per run. Owners merge the reports, and nodes gossip contents that are close to quarantine.
 """
 
 import random
@@ -58,7 +58,7 @@
 
 __all__ = ["QuarantineState", "step"]
 
-# How an exchange breaks when the process or the machine at the other side ends.
+# Causes that a crash of the endpoint's process or machine can produce.
 _ENDS = frozenset(
     [
         BreakCause.CLOSED,
@@ -71,7 +71,7 @@
 
 
 @attrs.define
-class _OpenLook:
+class _ActiveProbe:
     endpoint: ServiceEndpoint
     contents: set[ContentId]
     refused: int = 0
@@ -80,39 +80,39 @@
 
 @attrs.define
 class QuarantineState:
-    """What one node knows; nodes are named by their address."""
+    """The state of one node; nodes are identified by address."""
 
     own: str
     rng: random.Random
-    # The nodes that hear from this one.
+    # Peers that this node sends gossip to.
     neighbours: Neighbours = attrs.field(init=False)
     table: SuspicionTable = attrs.Factory(SuspicionTable)
-    probes: dict[StartId, _OpenLook] = attrs.Factory(dict)
-    told_ms: int = 0
-    forgot_ms: int = 0
+    probes: dict[StartId, _ActiveProbe] = attrs.Factory(dict)
+    gossiped_ms: int = 0
+    expired_ms: int = 0
 
     @neighbours.default
     def _make_neighbours(self) -> Neighbours:
         return Neighbours(self.own, self.rng)
 
     def update_nodes(self, nodes: Iterable[str]) -> None:
-        """Which nodes there are from now on."""
+        """Replace the list of nodes."""
         self.neighbours.take(nodes)
 
     @property
     def idle(self) -> bool:
-        """Whether time brings nothing."""
+        """Whether nothing is suspected, so that ticks have no effect."""
         return not len(self.table)
 
     def owners(self, content: ContentId) -> tuple[str, ...]:
-        """The nodes that put together what entry nodes saw of a content."""
+        """Return the nodes that merge reports on a content."""
         return tuple(rank_members(self.neighbours.nodes, content, CONTENT_OWNERS))
 
     def admission(self, content: ContentId, now_ms: int) -> Admission:
-        """Whether a request of this content may be sent now.
+        """Return whether a request with this content may be sent now.
 
-        Owners alone begin a trial, and tell each other at once: one of two nodes that did so in the
-        same moment would end an endpoint for nothing.
+        Only owners start a trial, and they report it to each other at once. Two trials started at
+        the same time could crash two endpoints where one answers the question.
         """
         admission = self.table.admission(content, now_ms)
         if admission is Admission.TRIAL and not self.is_owner(content):
@@ -120,154 +120,156 @@
         return admission
 
     def is_owner(self, content: ContentId) -> bool:
-        """Whether this node is one of its owners."""
+        """Return whether this node is an owner of the content."""
         return self.own in self.owners(content)
 
 
 def step(state: QuarantineState, event: Event, now_ms: int) -> list[Command]:
-    """What is to be done."""
+    """Apply an event and return the commands to execute."""
     match event:
         case RunFailed():
-            return _take_break(state, event, now_ms)
+            return _handle_failed_run(state, event, now_ms)
         case ProbeFinished():
-            return _take_look(state, event, now_ms)
+            return _handle_probe(state, event, now_ms)
         case RunSucceeded(content):
-            return _share(state, state.table.add_success(content, now_ms), now_ms)
+            return _report_to_owners(state, state.table.add_success(content, now_ms), now_ms)
         case TrialStarted(content):
-            return _share(state, state.table.add_trial(content, now_ms), now_ms)
+            return _report_to_owners(state, state.table.add_trial(content, now_ms), now_ms)
         case RecordRead(suspicion):
-            return _hear(state, suspicion, now_ms)
+            return _merge(state, suspicion, now_ms)
         case RecordsLost():
-            return [each for known in state.table.all() for each in _record(state, known)]
+            return [each for known in state.table.all() for each in _update_record(state, known)]
         case SuspicionNews():
-            return _take_news(state, event, now_ms)
+            return _handle_news(state, event, now_ms)
         case Tick():
-            return [*_forget(state, now_ms), *_spread(state, now_ms)]
+            return [*_expire(state, now_ms), *_gossip(state, now_ms)]
     return []
 
 
-def _take_break(state: QuarantineState, event: RunFailed, now_ms: int) -> list[Command]:
-    """Suspect nothing before the end is shown; one look serves all runs that broke with it."""
+def _handle_failed_run(state: QuarantineState, event: RunFailed, now_ms: int) -> list[Command]:
+    """Probe the endpoint before suspecting the content; runs that failed together share a probe."""
     if event.leaving or event.cause not in _ENDS:
         return []
     instance = event.endpoint.instance
     if event.cause is BreakCause.RESTARTED:
-        return _add_ends(state, {event.content}, instance, now_ms)
+        return _record_ends(state, {event.content}, instance, now_ms)
     if instance in state.probes:
         state.probes[instance].contents.add(event.content)
         return []
-    state.probes[instance] = _OpenLook(event.endpoint, {event.content})
+    state.probes[instance] = _ActiveProbe(event.endpoint, {event.content})
     return [Probe(event.endpoint, 0)]
 
 
-def _take_look(state: QuarantineState, event: ProbeFinished, now_ms: int) -> list[Command]:
-    look = state.probes[event.instance]
-    look.refused += event.found is ProbeResult.REFUSES
-    look.silent += event.found is ProbeResult.SILENT
-    if event.found is ProbeResult.REFUSES and look.refused < REFUSED_PROBES:
-        return [Probe(look.endpoint, REFUSED_PROBE_INTERVAL_MS)]
-    if event.found is ProbeResult.SILENT and look.silent < SILENT_PROBES:
-        return [Probe(look.endpoint, SILENT_PROBE_INTERVAL_MS)]
+def _handle_probe(state: QuarantineState, event: ProbeFinished, now_ms: int) -> list[Command]:
+    probe = state.probes[event.instance]
+    probe.refused += event.found is ProbeResult.REFUSES
+    probe.silent += event.found is ProbeResult.SILENT
+    if event.found is ProbeResult.REFUSES and probe.refused < REFUSED_PROBES:
+        return [Probe(probe.endpoint, REFUSED_PROBE_INTERVAL_MS)]
+    if event.found is ProbeResult.SILENT and probe.silent < SILENT_PROBES:
+        return [Probe(probe.endpoint, SILENT_PROBE_INTERVAL_MS)]
     del state.probes[event.instance]
     if event.found is not ProbeResult.REFUSES and not event.found.proves_end:
         return []
-    ended = EndpointEnded(event.instance, len(look.contents), event.found)
-    return [ended, *_add_ends(state, look.contents, event.instance, now_ms)]
+    ended = EndpointEnded(event.instance, len(probe.contents), event.found)
+    return [ended, *_record_ends(state, probe.contents, event.instance, now_ms)]
 
 
-def _add_ends(
+def _record_ends(
     state: QuarantineState, contents: set[ContentId], instance: StartId, now_ms: int
 ) -> list[Command]:
-    """This node saw that an endpoint ended under these contents."""
+    """Record an end that this node detected, for every content that was running."""
     commands: list[Command] = []
     for content in sorted(contents):
-        commands += _share(state, state.table.add_end(content, instance, now_ms), now_ms)
+        commands += _report_to_owners(state, state.table.add_end(content, instance, now_ms), now_ms)
     return commands
 
 
-def _share(state: QuarantineState, news: Suspicion | None, now_ms: int) -> list[Command]:
-    """What this node saw itself goes to the content's owners at once."""
+def _report_to_owners(state: QuarantineState, news: Suspicion | None, now_ms: int) -> list[Command]:
+    """Send a change that this node observed to the content's owners at once."""
     if news is None:
         return []
     owners = state.owners(news.content)
     others = tuple(node for node in owners if node != state.own)
-    told: list[Command] = [_tell(state, others, (news,), now_ms)] if others else []
-    return [*told, *_settle(state, news, now_ms)]
+    commands: list[Command] = [_send_news(state, others, (news,), now_ms)] if others else []
+    return [*commands, *_propagate(state, news, now_ms)]
 
 
-def _take_news(state: QuarantineState, event: SuspicionNews, now_ms: int) -> list[Command]:
-    """Put it together with what is known; a sender that missed a good run hears of it."""
+def _handle_news(state: QuarantineState, event: SuspicionNews, now_ms: int) -> list[Command]:
+    """Merge suspicions of another node; reply if the sender lacks a successful run."""
     commands: list[Command] = []
     cleared = []
-    for heard in event.suspicions:
-        commands += _hear(state, heard, now_ms)
-        known = state.table.find(heard.content)
-        if known is not None and known.ran_well and is_quarantined(heard):
+    for received in event.suspicions:
+        commands += _merge(state, received, now_ms)
+        known = state.table.find(received.content)
+        if known is not None and known.ran_well and is_quarantined(received):
             cleared.append(known)
     if cleared:
-        commands.append(_tell(state, (event.sender,), cleared, now_ms))
+        commands.append(_send_news(state, (event.sender,), cleared, now_ms))
     return commands
 
 
-def _hear(state: QuarantineState, heard: Suspicion, now_ms: int) -> list[Command]:
-    news = state.table.merge(heard, now_ms)
-    return _settle(state, news, now_ms) if news is not None else []
+def _merge(state: QuarantineState, received: Suspicion, now_ms: int) -> list[Command]:
+    news = state.table.merge(received, now_ms)
+    return _propagate(state, news, now_ms) if news is not None else []
 
 
-def _settle(state: QuarantineState, news: Suspicion, now_ms: int) -> list[Command]:
-    """What is quarantined is passed on at once: until all know it, endpoints go on ending."""
+def _propagate(state: QuarantineState, news: Suspicion, now_ms: int) -> list[Command]:
+    """Gossip a new quarantine at once: until all nodes have it, endpoints keep crashing."""
     if not is_gossiped(news):
         return []
-    told = _tell_some(state, GOSSIP_FANOUT, (news,), now_ms) if is_quarantined(news) else []
-    return [SuspicionChanged(news), *told, *_record(state, news)]
+    commands = (
+        _send_to_neighbours(state, GOSSIP_FANOUT, (news,), now_ms) if is_quarantined(news) else []
+    )
+    return [SuspicionChanged(news), *commands, *_update_record(state, news)]
 
 
-def _record(state: QuarantineState, news: Suspicion) -> list[Command]:
-    """Each owner writes it: the first one finds no record, the others find that one."""
+def _update_record(state: QuarantineState, news: Suspicion) -> list[Command]:
+    """Write or remove the store's record; every owner does so, and only the first has an effect."""
     if len(news.ended) < ENDS_TO_QUARANTINE or not state.is_owner(news.content):
         return []
     return [WriteRecord(news) if is_quarantined(news) else RemoveRecord(news.content)]
 
 
-def _forget(state: QuarantineState, now_ms: int) -> list[Command]:
-    if now_ms - state.forgot_ms < EXPIRY_INTERVAL_MS:
+def _expire(state: QuarantineState, now_ms: int) -> list[Command]:
+    if now_ms - state.expired_ms < EXPIRY_INTERVAL_MS:
         return []
-    state.forgot_ms = now_ms
-    old = state.table.expire(now_ms)
+    state.expired_ms = now_ms
+    expired = state.table.expire(now_ms)
     return [
         RemoveRecord(suspicion.content)
-        for suspicion in old
+        for suspicion in expired
         if is_quarantined(suspicion) and state.is_owner(suspicion.content)
     ]
 
 
-def _spread(state: QuarantineState, now_ms: int) -> list[Command]:
-    """Tell a few neighbours what is new, again and again; and what is quarantined, for good.
+def _gossip(state: QuarantineState, now_ms: int) -> list[Command]:
+    """Send recent changes to a few neighbours, and quarantined contents for as long as they last.
 
-    So a node that was cut off, or starts, knows what is quarantined within a second or two, and
-    no one has to notice that it is back.
+    A node that starts or was partitioned thus receives all quarantines within a second or two,
+    without any node detecting its return.
     """
-    fresh = state.table.changed_since(now_ms - RECENT_CHANGE_MS)
-    if not fresh and now_ms - state.told_ms < IDLE_GOSSIP_INTERVAL_MS:
+    recent = state.table.changed_since(now_ms - RECENT_CHANGE_MS)
+    if not recent and now_ms - state.gossiped_ms < IDLE_GOSSIP_INTERVAL_MS:
         return []
-    state.told_ms = now_ms
-    newest = fresh[: MAX_SUSPICIONS_PER_MESSAGE // 2]
-    others = [one for one in (*fresh, *state.table.quarantined()) if one not in newest]
+    state.gossiped_ms = now_ms
+    newest = recent[: MAX_SUSPICIONS_PER_MESSAGE // 2]
+    others = [one for one in (*recent, *state.table.quarantined()) if one not in newest]
     sample = state.rng.sample(others, min(len(others), MAX_SUSPICIONS_PER_MESSAGE // 2))
-    return _tell_some(state, GOSSIP_FANOUT if fresh else 1, (*newest, *sample), now_ms)
+    return _send_to_neighbours(state, GOSSIP_FANOUT if recent else 1, (*newest, *sample), now_ms)
 
 
-def _tell_some(
+def _send_to_neighbours(
     state: QuarantineState, fanout: int, suspicions: tuple[Suspicion, ...], now_ms: int
 ) -> list[Command]:
     chosen = state.neighbours.choose(fanout)
     if not chosen or not suspicions:
         return []
-    return [_tell(state, tuple(chosen), suspicions, now_ms)]
+    return [_send_news(state, tuple(chosen), suspicions, now_ms)]
 
 
-def _tell(
+def _send_news(
     state: QuarantineState, nodes: tuple[str, ...], suspicions: Iterable[Suspicion], now_ms: int
 ) -> SendNews:
-    with_age = tuple(state.table.with_age(suspicion, now_ms) for suspicion in suspicions)
-    return SendNews(nodes, SuspicionNews(state.own, with_age))
+    aged = tuple(state.table.with_age(suspicion, now_ms) for suspicion in suspicions)
+    return SendNews(nodes, SuspicionNews(state.own, aged))
