--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -1,4 +1,4 @@
-"""What a node hears of contents that end endpoints, and what is to be done: events and commands."""
+"""Events and commands of the quarantine core."""
 
 import enum
 
@@ -31,24 +31,24 @@
 
 
 class ProbeResult(enum.Enum):
-    """What a look at an endpoint found."""
+    """The result of a probe."""
 
     LISTENS = "listens"
     REFUSES = "refuses"
     SILENT = "silent"
-    # Silent, and the store lists it no more.
+    # Silent, and the store no longer lists the endpoint.
     GONE = "gone"
     RESTARTED = "started-again"
 
     @property
     def proves_end(self) -> bool:
-        """Whether it shows by itself that the endpoint has ended."""
+        """Whether a single probe with this result proves that the endpoint has ended."""
         return self in (ProbeResult.GONE, ProbeResult.RESTARTED)
 
 
 @attrs.frozen
 class RunFailed:
-    """An endpoint closed while it worked on a content; `leaving` if that was foreseen."""
+    """A run of a content broke off; `leaving` if the endpoint was draining or not listed."""
 
     content: ContentId
     endpoint: ServiceEndpoint
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class ProbeFinished:
-    """A look at an endpoint is over."""
+    """A probe of an endpoint has a result."""
 
     instance: StartId
     found: ProbeResult
@@ -66,28 +66,28 @@
 
 @attrs.frozen
 class RunSucceeded:
-    """A run of the content came to a whole answer, whose end the endpoint told."""
+    """A run of the content returned a complete answer with an explicit end."""
 
     content: ContentId
 
 
 @attrs.frozen
 class TrialStarted:
-    """A quarantined content is sent to one endpoint, once."""
+    """A quarantined content is sent once, to one endpoint."""
 
     content: ContentId
 
 
 @attrs.frozen
 class RecordRead:
-    """The store had this content as quarantined when this node started."""
+    """The store listed this content as quarantined when this node started."""
 
     suspicion: Suspicion
 
 
 @attrs.frozen
 class RecordsLost:
-    """The store was restored from a copy, which may lack records and have removed ones."""
+    """The store was restored from a backup, which may lack records or contain removed ones."""
 
 
 @attrs.frozen
@@ -109,7 +109,7 @@
 
 @attrs.frozen
 class Probe:
-    """See whether somebody listens at the endpoint, after a pause."""
+    """Check after a delay whether the endpoint accepts connections."""
 
     endpoint: ServiceEndpoint
     after_ms: int
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class SendNews:
-    """Tell these nodes."""
+    """Send suspicions to these nodes."""
 
     nodes: tuple[str, ...]
     news: SuspicionNews
@@ -125,21 +125,21 @@
 
 @attrs.frozen
 class WriteRecord:
-    """Write a quarantined content to the store, so that it outlives all nodes."""
+    """Write a quarantined content to the store, so that it survives a restart of all nodes."""
 
     suspicion: Suspicion
 
 
 @attrs.frozen
 class RemoveRecord:
-    """Remove it from the store."""
+    """Remove a content from the store."""
 
     content: ContentId
 
 
 @attrs.frozen
 class EndpointEnded:
-    """A belief to log: an endpoint ended while it worked on so many contents."""
+    """To log: an endpoint ended while it ran `contents` contents."""
 
     instance: StartId
     contents: int
@@ -148,7 +148,7 @@
 
 @attrs.frozen
 class SuspicionChanged:
-    """A belief to log: what is now known of a content that is serious."""
+    """To log: the new state of a content that is gossiped."""
 
     suspicion: Suspicion
 
