--- a/saffronworks/forwarding/quarantine/messages.py
+++ b/saffronworks/forwarding/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of contents under which endpoints ended."""
+"""Messages between nodes on contents whose endpoints ended while running them."""
 
 import attrs
 
@@ -10,12 +10,12 @@
 
 @attrs.frozen
 class Suspicion:
-    """One content: the starts of endpoints that ended while they worked on it.
+    """One content and the endpoint starts that ended while running it.
 
-    `ran_well`: a run of it came to a whole answer, so the ends had another cause. `trials` counts
-    those that began since it was quarantined. All three only grow, so that views of several nodes
-    can be put together in any order. `age_ms` is how long the sender has known all this; who hears
-    it counts on from there, or what nodes tell each other would never be forgotten.
+    `ran_well`: a run returned a complete answer, so the ends had another cause. `trials`: trials
+    started since the quarantine. These three fields only grow, so views of several nodes merge in
+    any order. `age_ms`: how long the sender has had this state. Receivers continue from that age;
+    otherwise gossip would keep an entry alive forever.
     """
 
     content: ContentId
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class SuspicionNews:
-    """Node to node: what the sender knows of some contents."""
+    """Node to node: the sender's view of some contents."""
 
     sender: str
     suspicions: tuple[Suspicion, ...]
