--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -1,8 +1,9 @@
-"""The contents under which endpoints ended, as one node knows them, and what follows for each.
+"""One node's table of contents whose endpoints ended while running them.
 
-Whoever ends an endpoint can't be seen: up to 64 runs break in the same moment. So each of them is
-suspected, and a run that ends well clears its content. What is left after three ends without one
-good run is quarantined. `saffronworks/tests/concurrent_runs.py` counts how many it wrongly strikes.
+The request that crashed an endpoint can't be identified directly: up to 64 runs break at once. So
+the content of each broken run is suspected, and a successful run clears it. A content with three
+ends and no successful run is quarantined. `saffronworks/tests/concurrent_runs.py` counts how many
+innocent contents that quarantines.
 """
 
 import enum
@@ -27,7 +28,7 @@
 
 
 class Admission(enum.Enum):
-    """Whether a request may be sent to endpoints; a trial may be sent to one."""
+    """Decision on a request: may be sent, may be sent to one endpoint as a trial, or refused."""
 
     ALLOWED = "free"
     TRIAL = "trial"
@@ -37,23 +38,23 @@
 @attrs.define
 class _Entry:
     suspicion: Suspicion
-    # Since when it is known so.
+    # When this node's view of the content last changed.
     changed_ms: int
 
 
 def is_quarantined(suspicion: Suspicion) -> bool:
-    """Whether so many endpoints ended under it that no further one is to."""
+    """Return whether the content has reached the limit of ends without a successful run."""
     return len(suspicion.ended) >= ENDS_TO_QUARANTINE and not suspicion.ran_well
 
 
 def is_gossiped(suspicion: Suspicion) -> bool:
-    """Whether all nodes are to know it: one end more, or a good run, decides it."""
+    """Return whether all nodes receive the suspicion: it is at most one end from quarantine."""
     return len(suspicion.ended) >= ENDS_TO_QUARANTINE - 1
 
 
 @attrs.define
 class SuspicionTable:
-    """Bounded: when it is full, what was suspected longest ago and least goes first."""
+    """Suspicions by content, bounded; evicts those with the fewest ends, then the oldest."""
 
     _entries: dict[ContentId, _Entry] = attrs.Factory(dict)
 
@@ -61,64 +62,64 @@
         return len(self._entries)
 
     def find(self, content: ContentId) -> Suspicion | None:
-        """What is known of a content."""
+        """Return the suspicion of a content, or None."""
         entry = self._entries.get(content)
         return entry.suspicion if entry is not None else None
 
     def add_end(self, content: ContentId, instance: StartId, now_ms: int) -> Suspicion | None:
-        """An endpoint ended while it worked on the content. What is known now, None if no news."""
+        """Add an end under a content; return the new suspicion, or None if nothing changed."""
         return self.merge(Suspicion(content, (instance,)), now_ms)
 
     def add_success(self, content: ContentId, now_ms: int) -> Suspicion | None:
-        """A run of it came to a whole answer. What is known now, None if no news."""
+        """Add a successful run; return the new suspicion, or None if nothing changed."""
         if content not in self._entries:
             return None
         return self.merge(Suspicion(content, (), ran_well=True), now_ms)
 
     def add_trial(self, content: ContentId, now_ms: int) -> Suspicion | None:
-        """A trial of a quarantined content begins."""
+        """Count a trial that starts; return the new suspicion, or None if nothing changed."""
         known = self.find(content)
         return (
             self.merge(Suspicion(content, (), trials=known.trials + 1), now_ms) if known else None
         )
 
-    def merge(self, heard: Suspicion, now_ms: int) -> Suspicion | None:
-        """Put together what is known and what is heard. The result, None where it is no news."""
-        known = self.find(heard.content)
-        if known is None and heard.age_ms >= _kept_ms(heard):
+    def merge(self, received: Suspicion, now_ms: int) -> Suspicion | None:
+        """Merge a received suspicion; return the new suspicion, or None if nothing changed."""
+        known = self.find(received.content)
+        if known is None and received.age_ms >= _retention_ms(received):
             return None
-        both = _join(known, heard) if known is not None else heard
-        if both == known:
+        merged = _union(known, received) if known is not None else received
+        if merged == known:
             return None
-        changed_ms = now_ms - heard.age_ms if both == heard else now_ms
-        self._entries[heard.content] = _Entry(both, changed_ms)
-        self._bound()
-        return both
+        changed_ms = now_ms - received.age_ms if merged == received else now_ms
+        self._entries[received.content] = _Entry(merged, changed_ms)
+        self._evict()
+        return merged
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         if len(self._entries) > MAX_SUSPICIONS:
-            least = min(self._entries.values(), key=_weight)
+            least = min(self._entries.values(), key=_eviction_key)
             del self._entries[least.suspicion.content]
 
     def admission(self, content: ContentId, now_ms: int) -> Admission:
-        """Whether a request of this content may be sent now."""
+        """Return whether a request with this content may be sent now."""
         entry = self._entries.get(content)
         if entry is None or not is_quarantined(entry.suspicion):
             return Admission.ALLOWED
         quarantined_ms, trials = now_ms - entry.changed_ms, entry.suspicion.trials
         if quarantined_ms < EARLY_TRIAL_AFTER_MS:
             return Admission.REFUSED
-        if self._shares_ends(entry.suspicion):
+        if self._all_ends_shared(entry.suspicion):
             due = trials == 0 or quarantined_ms >= TRIAL_AFTER_MS
         else:
             due = trials == 0 and quarantined_ms >= TRIAL_AFTER_MS
         return Admission.TRIAL if due else Admission.REFUSED
 
-    def _shares_ends(self, suspicion: Suspicion) -> bool:
-        """Whether each of its ends counts against another such content: it was perhaps only there.
+    def _all_ends_shared(self, suspicion: Suspicion) -> bool:
+        """Return whether every end also counts against another quarantined content.
 
-        So it is of those beside a deadly content, and of all contents while endpoints end for a
-        cause of their own, as after a release that fails.
+        Such a content may be innocent: it ran beside the one that crashed the endpoint, or the
+        endpoints crash for a cause of their own, as after a faulty release.
         """
         others = {
             start
@@ -129,7 +130,7 @@
         return others.issuperset(suspicion.ended)
 
     def changed_since(self, from_ms: int) -> list[Suspicion]:
-        """What all nodes are to know and may not know yet, the newest first."""
+        """Return gossiped suspicions that changed since `from_ms`, newest first."""
         fresh = [
             entry
             for entry in self._entries.values()
@@ -139,24 +140,24 @@
         return [entry.suspicion for entry in fresh]
 
     def with_age(self, suspicion: Suspicion, now_ms: int) -> Suspicion:
-        """The same with its age, to be told."""
+        """Return a copy with its current age, for a message to other nodes."""
         entry = self._entries.get(suspicion.content)
         return attrs.evolve(suspicion, age_ms=now_ms - entry.changed_ms if entry else 0)
 
     def quarantined(self) -> list[Suspicion]:
-        """What no node is to send on."""
+        """Return the suspicions that are quarantined."""
         return [suspicion for suspicion in self.all() if is_quarantined(suspicion)]
 
     def all(self) -> list[Suspicion]:
-        """What is known of every content."""
+        """Return the suspicions of all contents."""
         return [entry.suspicion for entry in self._entries.values()]
 
     def expire(self, now_ms: int) -> list[Suspicion]:
-        """Drop what is long over; returns it."""
+        """Drop the suspicions whose retention is over, and return them."""
         old = [
             entry.suspicion
             for entry in self._entries.values()
-            if now_ms - entry.changed_ms >= _kept_ms(entry.suspicion)
+            if now_ms - entry.changed_ms >= _retention_ms(entry.suspicion)
         ]
         self._drop(old)
         return old
@@ -166,19 +167,19 @@
             del self._entries[suspicion.content]
 
 
-def _join(known: Suspicion, heard: Suspicion) -> Suspicion:
+def _union(known: Suspicion, received: Suspicion) -> Suspicion:
     return Suspicion(
         known.content,
-        tuple(sorted({*known.ended, *heard.ended})[:MAX_ENDED_STARTS]),
-        known.ran_well or heard.ran_well,
-        max(known.trials, heard.trials),
+        tuple(sorted({*known.ended, *received.ended})[:MAX_ENDED_STARTS]),
+        known.ran_well or received.ran_well,
+        max(known.trials, received.trials),
     )
 
 
-def _weight(entry: _Entry) -> tuple[bool, int, int]:
+def _eviction_key(entry: _Entry) -> tuple[bool, int, int]:
     suspicion = entry.suspicion
     return is_quarantined(suspicion), len(suspicion.ended), entry.changed_ms
 
 
-def _kept_ms(suspicion: Suspicion) -> int:
+def _retention_ms(suspicion: Suspicion) -> int:
     return KEEP_QUARANTINED_MS if is_quarantined(suspicion) else KEEP_SUSPECT_MS
