--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -1,4 +1,4 @@
-"""The service that keeps contents which end endpoints from being sent on: runs `core`."""
+"""The service that stops sending contents that crash endpoints; it runs `core`."""
 
 import logging
 import random
@@ -37,9 +37,9 @@
 
 
 class Quarantine:
-    """Tells for each request whether it may be sent, and hears how its runs end.
+    """Decides for each request whether it may be sent, and records how its runs end.
 
-    While nothing is suspected a request costs nothing here: its content isn't even worked out.
+    While nothing is suspected, a request's content identity isn't computed.
     """
 
     name = "quarantine"
@@ -54,7 +54,7 @@
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
     ):
-        epoch.subscribe(self._note_restore)
+        epoch.subscribe(self._on_store_restored)
         self._state = QuarantineState(own_address, rng)
         self._directory = directory
         self._calls = calls
@@ -62,26 +62,26 @@
         self._now_ms = now_ms
         self._kernel: Kernel | None = None
         self._tasks: TaskGroup | None = None
-        self._suspects = anyio.Event()
+        self._active = anyio.Event()
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Hear other nodes and tell them, until cancelled."""
+        """Exchange suspicions with other nodes until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._tick)
             tasks.start_soon(self._read_records)
             async for message in mailbox:
-                self._take(message)
+                self._handle(message)
 
     def update_nodes(self, nodes: Collection[str]) -> None:
-        """Which nodes there are, by their addresses."""
+        """Replace the list of node addresses."""
         self._state.update_nodes(nodes)
 
-    # What requests ask and tell.
+    # Called for requests.
 
     def admit(self, request: CallerRequest) -> Admission:
-        """Whether a request may be sent to endpoints."""
+        """Return whether a request may be sent to endpoints."""
         if self._state.idle:
             return Admission.ALLOWED
         admission = self._state.admission(request.content, self._now_ms())
@@ -96,85 +96,88 @@
         return admission
 
     def blocks(self, request: CallerRequest, on_trial: bool = False) -> bool:
-        """Whether a request under way is to be sent on no more, a trial not even once."""
+        """Return whether a request in progress must not be sent again; `on_trial` if it is one."""
         if self._state.idle:
             return False
         admission = self._state.table.admission(request.content, self._now_ms())
         return admission is Admission.REFUSED or (admission is Admission.TRIAL and not on_trial)
 
     def record_trial(self, request: CallerRequest) -> None:
-        """A request on trial is sent to its endpoint now: no other one is."""
-        self._take(events.TrialStarted(request.content))
+        """Record that a trial is being sent, so that no other request is admitted as one."""
+        self._handle(events.TrialStarted(request.content))
 
     def record_failure(
         self, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break, waited_for: bool
     ) -> None:
-        """An endpoint that may have worked on a request gave no whole answer to it.
+        """Record that an endpoint that may have run a request gave no complete answer.
 
-        Silence counts where it was `waited_for`: a request that is sent elsewhere when a little
-        time has passed says nothing of the first endpoint, and a look at it costs a connection.
+        A timeout counts only if `waited_for`: a plain request that moves on after a short timeout
+        doesn't show that the first endpoint failed, and a probe costs a connection.
         """
         if broken.cause is BreakCause.SILENT and not waited_for:
             return
         known = self._directory.endpoints.get(endpoint.instance)
         leaving = known is None or known.draining
-        self._take(events.RunFailed(request.content, endpoint, broken.cause, leaving))
+        self._handle(events.RunFailed(request.content, endpoint, broken.cause, leaving))
 
     def record_success(self, request: CallerRequest, framed: bool) -> None:
-        """A success came whole. Only if its endpoint told the end: a close may be its own end."""
+        """Record a complete answer if it was `framed`.
+
+        An answer that ends when the connection closes may have been cut off by a crash.
+        """
         if framed and not self._state.idle:
-            self._take(events.RunSucceeded(request.content))
+            self._handle(events.RunSucceeded(request.content))
 
-    # What follows.
+    # Events and commands of the core.
 
-    def _take(self, event: events.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         for command in step(self._state, event, self._now_ms()):
             self._execute(command)
         if not self._state.idle:
-            self._suspects.set()
+            self._active.set()
 
     def _execute(self, command: events.Command) -> None:
         match command:
             case events.Probe(endpoint, after_ms):
-                self._start(self._look, endpoint, after_ms)
+                self._start(self._probe, endpoint, after_ms)
             case events.SendNews(nodes, news):
-                self._tell(nodes, news)
+                self._send_news(nodes, news)
             case events.WriteRecord(suspicion):
-                self._start(self._until_done, self._records.write, suspicion)
+                self._start(self._write_with_retry, self._records.write, suspicion)
             case events.RemoveRecord(content):
-                self._start(self._until_done, self._records.remove, content)
-            case events.EndpointEnded(instance, contents, found):
+                self._start(self._write_with_retry, self._records.remove, content)
+            case events.EndpointEnded(instance, contents, result):
                 logger.info(
                     "event=endpoint_ended endpoint=%s contents=%d found=%s endpoints_rev=%s",
                     instance,
                     contents,
-                    found.value,
+                    result.value,
                     self._directory.revision,
                 )
             case events.SuspicionChanged(suspicion):
-                _log_learned(suspicion)
+                _log_suspicion(suspicion)
 
     def _start(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-        """Do something that waits; before the service runs there are no requests."""
+        """Start a background task; before the service runs there are no requests to serve."""
         if self._tasks is not None:
             self._tasks.start_soon(function, *arguments)
 
-    def _tell(self, nodes: tuple[str, ...], news: SuspicionNews) -> None:
+    def _send_news(self, nodes: tuple[str, ...], news: SuspicionNews) -> None:
         if self._kernel is not None:
             for node in nodes:
                 self._kernel.post("peers", Outgoing(node, news))
 
-    async def _look(self, endpoint: ServiceEndpoint, after_ms: int) -> None:
+    async def _probe(self, endpoint: ServiceEndpoint, after_ms: int) -> None:
         await anyio.sleep(after_ms / 1000)
-        found = await self._find(endpoint)
-        if found is not ProbeResult.REFUSES:
+        result = await self._probe_once(endpoint)
+        if result is not ProbeResult.REFUSES:
             logger.info(
-                "event=endpoint_looked_at endpoint=%s found=%s", endpoint.instance, found.value
+                "event=endpoint_probed endpoint=%s found=%s", endpoint.instance, result.value
             )
-        self._take(events.ProbeFinished(endpoint.instance, found))
+        self._handle(events.ProbeFinished(endpoint.instance, result))
 
-    async def _find(self, endpoint: ServiceEndpoint) -> ProbeResult:
-        """What there is at the address; a later start there shows the end of this one."""
+    async def _probe_once(self, endpoint: ServiceEndpoint) -> ProbeResult:
+        """Probe the address of an endpoint; a newer start under its name proves that it ended."""
         listens = await self._calls.listens(endpoint)
         latest = self._directory.named(endpoint.name)
         if latest is not None and latest.instance != endpoint.instance:
@@ -183,43 +186,43 @@
             return ProbeResult.GONE if latest is None else ProbeResult.SILENT
         return ProbeResult.LISTENS if listens else ProbeResult.REFUSES
 
-    async def _until_done(
+    async def _write_with_retry(
         self, write: Callable[[_Written], Coroutine[Any, Any, bool]], what: _Written
     ) -> None:
-        """Ask the store until it has answered, some times at most."""
+        """Call `write` until the store has answered or the attempts are used up."""
         for _ in range(RECORD_ATTEMPTS):
             if await write(what):
                 return
             await anyio.sleep(RECORD_RETRY_S)
 
     async def _read_records(self) -> None:
-        """What was quarantined before this node started."""
+        """Load what was quarantined before this node started."""
         for pause_s in RECORD_READ_DELAYS_S:
             await anyio.sleep(pause_s)
-            while (found := await self._records.list_all()) is None:
+            while (result := await self._records.list_all()) is None:
                 await anyio.sleep(RECORD_RETRY_S)
-            for suspicion in found:
-                self._take(events.RecordRead(suspicion))
+            for suspicion in result:
+                self._handle(events.RecordRead(suspicion))
 
-    def _note_restore(self) -> None:
+    def _on_store_restored(self) -> None:
         if not self._state.idle:
-            self._start(self._record_again)
+            self._start(self._rewrite_records)
 
-    async def _record_again(self) -> None:
+    async def _rewrite_records(self) -> None:
         await anyio.sleep(RESTORED_SPREAD_MS / 1000 * self._state.rng.random())
-        self._take(events.RecordsLost())
+        self._handle(events.RecordsLost())
 
     async def _tick(self) -> None:
-        """Let time pass while something is suspected."""
+        """Apply ticks while something is suspected."""
         while True:
-            await self._suspects.wait()
+            await self._active.wait()
             await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
-            self._take(events.Tick())
+            self._handle(events.Tick())
             if self._state.idle:
-                self._suspects = anyio.Event()
+                self._active = anyio.Event()
 
 
-def _log_learned(suspicion: Suspicion) -> None:
+def _log_suspicion(suspicion: Suspicion) -> None:
     known = "quarantined" if is_quarantined(suspicion) else "suspected"
     if suspicion.ran_well:
         known = "cleared"
