--- a/saffronworks/forwarding/quarantine/__init__.py
+++ b/saffronworks/forwarding/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Contents that end the endpoints which run them: known at all nodes, and sent to none any more."""
+"""Quarantine of request contents that crash the endpoints which run them."""
