--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -199,9 +199,9 @@
         """Load what was quarantined before this node started."""
         for pause_s in RECORD_READ_DELAYS_S:
             await anyio.sleep(pause_s)
-            while (result := await self._records.list_all()) is None:
+            while (records := await self._records.list_all()) is None:
                 await anyio.sleep(RECORD_RETRY_S)
-            for suspicion in result:
+            for suspicion in records:
                 self._handle(events.RecordRead(suspicion))
 
     def _on_store_restored(self) -> None:
