--- a/saffronworks/forwarding/endpoint_limits/__init__.py
+++ b/saffronworks/forwarding/endpoint_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that endpoints name in their answers: what is known of them, and who may send."""
+"""Enforces, over all nodes together, the rate limits that endpoints advertise."""
