--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -1,4 +1,4 @@
-"""The service that keeps all nodes together within the limits that endpoints name."""
+"""The service that keeps all nodes together within the rate limits of endpoints."""
 
 import logging
 import random
@@ -51,11 +51,11 @@
 
 
 class EndpointLimits:
-    """Hears what endpoints say of the requests that they take, and counts sends to them.
+    """Tracks the rate limits that endpoints advertise, and issues permits for sends to them.
 
-    A limit is one for all nodes together, and often less than one request a node in many seconds:
-    no node can keep its part alone. So each send to such an endpoint asks a holder of its limit.
-    While no endpoint names one a request costs nothing here.
+    One limit covers all nodes together and often allows each node less than one request in many
+    seconds, so it can't be split into a fixed part per node. Every send to a limited endpoint
+    therefore needs a permit of a share holder. Without limited endpoints nothing is done here.
     """
 
     name = "endpoint_limits"
@@ -81,14 +81,14 @@
             LIMIT_TOLERANCE,
             uncounted_nodes,
             now_ms,
-            limit_of=self._limit,
-            tell=self._tell,
+            limit_of=self._limit_of,
+            tell=self._send,
             on_change=_log_change,
             stagger_retries=False,
         )
 
     def update_nodes(self, cores: dict[str, float]) -> None:
-        """Which nodes there are, by their addresses, with their processor cores."""
+        """Replace the nodes: processor cores by address."""
         starts = not self.shared_limit.nodes
         self.shared_limit.update_nodes(cores)
         self._neighbours.take(cores)
@@ -102,12 +102,12 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._publish_updates)
             async for message in mailbox:
-                self._take(message)
+                self._handle(message)
 
-    # What is known.
+    # Known limits.
 
     def find(self, instance: StartId) -> float | None:
-        """Requests a second that an endpoint takes; None where it names no limit."""
+        """Return an endpoint's limit in requests per second, or None if it has none."""
         return self._table.find(instance)
 
     def observe(self, endpoint: ServiceEndpoint, answer: AdvertisedLimit) -> None:
@@ -118,20 +118,20 @@
         elif self._table.record_answer(instance, answer, self._now_ms()):
             self._on_change(instance, before, "answer")
 
-    def _on_update(self, heard: HeardLimit) -> None:
-        before = self._table.find(heard.endpoint)
-        known = KnownLimit(heard.per_s, self._now_ms() - heard.age_ms)
-        if self._table.record_update(heard.endpoint, known):
-            self._on_change(heard.endpoint, before, "node")
+    def _on_update(self, update: HeardLimit) -> None:
+        before = self._table.find(update.endpoint)
+        known = KnownLimit(update.per_s, self._now_ms() - update.age_ms)
+        if self._table.record_update(update.endpoint, known):
+            self._on_change(update.endpoint, before, "node")
 
-    def _on_change(self, instance: StartId, before: float | None, heard: str) -> None:
+    def _on_change(self, instance: StartId, before: float | None, source: str) -> None:
         per_s = self._table.find(instance)
         logger.info(
-            "event=endpoint_limit endpoint=%s per_s=%s before=%s heard=%s",
+            "event=endpoint_limit endpoint=%s per_s=%s before=%s source=%s",
             instance,
             per_s,
             before,
-            heard,
+            source,
         )
         if per_s is None or (before is not None and per_s > before):
             self._backoff.clear(instance)
@@ -139,7 +139,7 @@
         self._changed.set()
 
     def _log_malformed(self, instance: StartId, text: str) -> None:
-        """Once for each text that an endpoint sends again and again."""
+        """Log a malformed limit once, however often the endpoint repeats it."""
         if self._malformed.get(instance) == text:
             return
         self._malformed[instance] = text
@@ -151,7 +151,7 @@
         )
 
     def forget_all_but(self, instances: Collection[StartId]) -> None:
-        """Drop what belongs to endpoints that are gone."""
+        """Drop the state of endpoints that are not in `instances`."""
         self._table.forget_all_but(instances, self._now_ms())
         self._backoff.forget_all_but(instances)
         self.shared_limit.entry.allowances.keep_only(set(instances))
@@ -159,21 +159,21 @@
         for instance in self._malformed.keys() - set(instances):
             del self._malformed[instance]
 
-    # What requests ask.
+    # Called for requests.
 
     def limits_of(self, endpoints: Iterable[ServiceEndpoint]) -> Limited:
-        """Which of these endpoints name a limit, and which of them are left alone for now."""
+        """Return which of these endpoints have a limit, and which of those are in backoff."""
         if not len(self._table):
             return NOT_LIMITED
         now_ms = self._now_ms()
-        named = {e.instance for e in endpoints if self._table.find(e.instance) is not None}
-        closed = {instance: self._backoff.remaining_ms(instance, now_ms) for instance in named}
-        return Limited(named, {instance: left for instance, left in closed.items() if left})
+        limits = {e.instance for e in endpoints if self._table.find(e.instance) is not None}
+        closed = {instance: self._backoff.remaining_ms(instance, now_ms) for instance in limits}
+        return Limited(limits, {instance: left for instance, left in closed.items() if left})
 
     async def acquire_permit(
         self, endpoint: ServiceEndpoint, request_id: str, calls: int = 1
     ) -> Permit | NoPermit:
-        """Acquire a permit for a request, of so many calls, from a holder of the limit."""
+        """Acquire a permit for a request that makes `calls` calls from a holder of the limit."""
         instance, now_ms = endpoint.instance, self._now_ms()
         per_s = self._table.find(instance)
         if per_s is None:
@@ -188,8 +188,8 @@
         if isinstance(command, Admitted):
             self._backoff.record_permit(instance)
             return Permit(ask, command.holder)
-        room_after_ms = command.retry_after_ms if isinstance(command, Refused) else 0
-        backoff_ms = self._backoff.record_rejection(instance, room_after_ms, self._now_ms())
+        retry_after_ms = command.retry_after_ms if isinstance(command, Refused) else 0
+        backoff_ms = self._backoff.record_rejection(instance, retry_after_ms, self._now_ms())
         logger.info(
             "event=send_refused request=%s endpoint=%s per_s=%s do=%s backoff_ms=%d holders=%d "
             "nodes=%d",
@@ -207,49 +207,51 @@
         """Release the permit of a request that did not reach the endpoint."""
         self.shared_limit.refund(permit.ask, permit.holder)
 
-    # What a holder knows.
+    # Called as a holder.
 
-    def _limit(self, event: holder.Event) -> Limit | None:
-        """The lower of what is known here and at the node that asks: either may be old."""
+    def _limit_of(self, event: holder.Event) -> Limit | None:
+        """Return the lower of this node's limit and the asking node's, as either may be stale."""
         known = self._table.find(StartId(event.subject))
-        named = [known] if known is not None else []
+        limits = [known] if known is not None else []
         if isinstance(event, Ask):
-            named.append(event.limit.per_s)
-        return Limit(max(MIN_PER_S, min(named)), 0.0) if named else None
+            limits.append(event.limit.per_s)
+        return Limit(max(MIN_PER_S, min(limits)), 0.0) if limits else None
 
     # Messages.
 
-    def _take(
+    def _handle(
         self, message: SendAsk | SendAnswer | SendGivenBack | LimitNews | LimitsWanted
     ) -> None:
         match message:
             case SendAnswer(ask_id, admitted, retry_after_ms):
                 self.shared_limit.handle_answer(Answer(ask_id, admitted, retry_after_ms))
-            case SendAsk(ask_id, reply_to, HeardLimit() as heard, calls, holders):
-                self._on_update(heard)
-                limit = Limit(heard.per_s or 0.0, 0.0)
+            case SendAsk(ask_id, reply_to, HeardLimit() as update, calls, holders):
+                self._on_update(update)
+                limit = Limit(update.per_s or 0.0, 0.0)
                 self.shared_limit.answer(
-                    reply_to, Ask(ask_id, heard.endpoint, calls, limit, holders)
+                    reply_to, Ask(ask_id, update.endpoint, calls, limit, holders)
                 )
             case SendGivenBack(ask_id, endpoint, holders):
                 self.shared_limit.apply(Refund(ask_id, endpoint, holders))
             case LimitNews(limits):
-                for heard in limits:
-                    self._on_update(heard)
+                for update in limits:
+                    self._on_update(update)
             case LimitsWanted(reply_to):
-                self._tell_limits((reply_to,), self._table.limited()[:MAX_LIMITS_PER_MESSAGE])
+                self._send_limits((reply_to,), self._table.limited()[:MAX_LIMITS_PER_MESSAGE])
 
-    def _tell(self, node: str, told: ShareMessage) -> None:
+    def _send(self, node: str, told: ShareMessage) -> None:
         match told:
             case Ask(ask_id, subject, calls, Limit(per_s), holders):
-                heard = self._told_of(StartId(subject)) or HeardLimit(StartId(subject), per_s, 0)
-                self._post(node, SendAsk(ask_id, self._own_address, heard, calls, holders))
+                update = self._known_limit(StartId(subject)) or HeardLimit(
+                    StartId(subject), per_s, 0
+                )
+                self._post(node, SendAsk(ask_id, self._own_address, update, calls, holders))
             case Answer(ask_id, admitted, retry_after_ms):
                 self._post(node, SendAnswer(ask_id, admitted, retry_after_ms))
             case Refund(ask_id, subject, holders):
                 self._post(node, SendGivenBack(ask_id, StartId(subject), holders))
 
-    def _told_of(self, instance: StartId) -> HeardLimit | None:
+    def _known_limit(self, instance: StartId) -> HeardLimit | None:
         known = self._table.entry(instance)
         if known is None:
             return None
@@ -260,18 +262,18 @@
             self._kernel.post("peers", Outgoing(node, message))
 
     async def _publish_updates(self) -> None:
-        """Publish changes to a few peers, which would send before they know a limit."""
+        """Publish changes to a few peers, so that few requests are sent without a permit."""
         while True:
             await self._changed.wait()
-            self._tell_limits(self._neighbours.choose(GOSSIP_FANOUT), self._pending.pop_batch())
+            self._send_limits(self._neighbours.choose(GOSSIP_FANOUT), self._pending.pop_batch())
             if not self._pending:
                 self._changed = anyio.Event()
             await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
 
-    def _tell_limits(self, nodes: Iterable[str], instances: Iterable[StartId]) -> None:
-        heard = [told for one in instances if (told := self._told_of(one)) is not None]
-        for node in nodes if heard else ():
-            self._post(node, LimitNews(tuple(heard)))
+    def _send_limits(self, nodes: Iterable[str], instances: Iterable[StartId]) -> None:
+        update = [told for one in instances if (told := self._known_limit(one)) is not None]
+        for node in nodes if update else ():
+            self._post(node, LimitNews(tuple(update)))
 
 
 def _log_change(change: ShareChanged) -> None:
@@ -286,7 +288,7 @@
 
 def _log_silent(request_id: str, ask: Ask, node: str) -> None:
     logger.info(
-        "event=limit_holder_silent request=%s endpoint=%s holder=%s after_ms=%d",
+        "event=limit_holder_unanswered request=%s endpoint=%s holder=%s after_ms=%d",
         request_id,
         ask.subject,
         node,
