--- a/saffronworks/forwarding/endpoint_limits/backoff.py
+++ b/saffronworks/forwarding/endpoint_limits/backoff.py
@@ -24,9 +24,9 @@
 
 @attrs.define
 class LimitBackoff:
-    """Per-endpoint backoff, during which requests go elsewhere at once.
+    """Backoff per endpoint, during which requests go to other endpoints at once.
 
-    `nodes` is how many nodes ask for permits.
+    `nodes` is the number of nodes that compete for permits.
     """
 
     rng: random.Random
@@ -34,14 +34,14 @@
     _backoffs: dict[StartId, _Backoff] = attrs.Factory(dict)
 
     def remaining_ms(self, instance: StartId, now_ms: int) -> int:
-        """How long the backoff of an endpoint still lasts; 0 where it may be asked for."""
+        """Return the rest of an endpoint's backoff; 0 if a permit may be requested."""
         known = self._backoffs.get(instance)
         return max(0, known.until_ms - now_ms) if known is not None else 0
 
-    def record_rejection(self, instance: StartId, room_after_ms: int, now_ms: int) -> int:
-        """No holder had room: back off, for longer each time. Returns for how long.
+    def record_rejection(self, instance: StartId, retry_after_ms: int, now_ms: int) -> int:
+        """Back off after a rejection, longer each time; return the remaining backoff.
 
-        Asks that were under way when the backoff began say nothing new.
+        Rejections that arrive during a backoff belong to earlier asks and don't extend it.
         """
         known = self._backoffs.get(instance)
         if known is not None and now_ms < known.until_ms:
@@ -50,21 +50,21 @@
         if known is not None:
             span_ms = BACKOFF_FACTOR * known.span_ms
         span_ms = min(span_ms, MAX_BACKOFF_MS)
-        remaining_ms = room_after_ms + self.rng.randrange(span_ms)
+        remaining_ms = retry_after_ms + self.rng.randrange(span_ms)
         self._backoffs[instance] = _Backoff(now_ms + remaining_ms, span_ms)
         return remaining_ms
 
     def record_permit(self, instance: StartId) -> None:
-        """A holder had room: the next backoff is shorter."""
+        """Shorten the next backoff after a holder has granted a permit."""
         known = self._backoffs.get(instance)
         if known is not None:
             known.span_ms = max(MIN_BACKOFF_MS, known.span_ms // BACKOFF_FACTOR)
 
     def clear(self, instance: StartId) -> None:
-        """The endpoint takes more than before."""
+        """End the backoff of an endpoint whose limit was raised or removed."""
         self._backoffs.pop(instance, None)
 
     def forget_all_but(self, instances: Collection[StartId]) -> None:
-        """Drop removed endpoints."""
+        """Drop endpoints that are not in `instances`."""
         for instance in self._backoffs.keys() - set(instances):
             del self._backoffs[instance]
