--- a/saffronworks/forwarding/endpoint_limits/messages.py
+++ b/saffronworks/forwarding/endpoint_limits/messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes on the limits that endpoints name."""
+"""Messages between nodes on the rate limits of endpoints."""
 
 import attrs
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class HeardLimit:
-    """What a node knows of an endpoint: its limit, None once it has ended; heard so long ago."""
+    """An endpoint's limit, None once it has ended, as the sender learned it `age_ms` ago."""
 
     endpoint: StartId
     per_s: float | None
@@ -26,23 +26,23 @@
 
 @attrs.frozen
 class LimitNews:
-    """Node to node: what the sender has just learnt."""
+    """Node to node: limits that changed recently, or the reply to `LimitsWanted`."""
 
     limits: tuple[HeardLimit, ...]
 
 
 @attrs.frozen
 class LimitsWanted:
-    """A node that has just started asks another one what it knows."""
+    """Request of a node that has just started for all limits that the receiver has."""
 
     reply_to: str
 
 
 @attrs.frozen
 class SendAsk:
-    """Entry to holder: may a request be sent to this endpoint within your share of its limit?
+    """Entry node to holder: requests a permit within the holder's share of an endpoint's limit.
 
-    `calls` is how many calls to the endpoint it takes.
+    `calls` is the number of calls that the request makes to the endpoint.
     """
 
     ask_id: str
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class SendAnswer:
-    """Holder to entry: it was counted and may be sent, or there is room after `retry_after_ms`."""
+    """Holder to entry node: permit granted and counted, or room expected in `retry_after_ms`."""
 
     ask_id: str
     admitted: bool
@@ -63,12 +63,12 @@
 
 @attrs.frozen
 class SendGivenBack:
-    """Entry to holder: a request that it admitted did not reach the endpoint."""
+    """Entry node to holder: an admitted request did not reach the endpoint."""
 
     ask_id: str
     endpoint: StartId
     holders: int
 
 
-# What nodes tell each other, as entry nodes, as holders and as neighbours.
+# Messages that a node receives as an entry node, a holder or a neighbour.
 PEER_MESSAGES = (SendAsk, SendAnswer, SendGivenBack, LimitNews, LimitsWanted)
