--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -1,4 +1,4 @@
-"""Leave to send one request to an endpoint, and what a request knows of who gives it."""
+"""Permits to send one request to an endpoint, and the limits that a request has to respect."""
 
 from collections.abc import Mapping, Set
 
@@ -12,33 +12,30 @@
 
 @attrs.frozen
 class Permit:
-    """One request may be sent; `holder` counted it, None where nobody does."""
+    """Permission to send one request; `holder` counted it, None if it is not counted."""
 
     ask: Ask | None = None
     holder: str | None = None
 
     def covers(self, instance: StartId) -> bool:
-        """Whether it is for a send to this endpoint; one that nobody counts is for any."""
+        """Return whether the permit is valid for this endpoint; an uncounted one is for any."""
         return self.ask is None or self.ask.subject == instance
 
 
-# For an endpoint that names no limit.
+# For an endpoint without a limit.
 UNCOUNTED_PERMIT = Permit()
 
 
 @attrs.frozen
 class NoPermit:
-    """The endpoint's limit is used up; there may be room after `after_ms`."""
+    """The endpoint's limit is exhausted; a permit may be available after `after_ms`."""
 
     after_ms: int
 
 
 @attrs.frozen
 class Limited:
-    """Which of a service's endpoints name a limit, and which of these are left alone for now.
-
-    `backoff_ms` has for how long, by endpoint.
-    """
+    """Endpoints of a service that have a limit; `backoff_ms` maps those in backoff to its rest."""
 
     limited: Set[StartId] = frozenset()
     backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
