--- a/saffronworks/forwarding/endpoint_limits/table.py
+++ b/saffronworks/forwarding/endpoint_limits/table.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints advertise: the newest known of each endpoint."""
+"""The newest known rate limit of each endpoint."""
 
 from collections.abc import Collection
 
@@ -14,8 +14,8 @@
 class AdvertisedLimit:
     """The rate limit in one answer of an endpoint, for all nodes together.
 
-    `per_s` is None where it advertises none, `malformed` what stands there in place of a number.
-    `sent_ms` is when the answered request was sent; `ran` tells whether it ran there.
+    `per_s` is None if the answer has no limit, `malformed` the text that is not a number.
+    `sent_ms` is when the answered request was sent, `ran` whether the endpoint executed it.
     """
 
     per_s: float | None
@@ -34,7 +34,7 @@
 
 @attrs.define
 class LimitTable:
-    """The limits by endpoint. An endpoint without an entry has advertised none."""
+    """Limits by endpoint. An endpoint without an entry has advertised none."""
 
     _known: dict[StartId, KnownLimit] = attrs.Factory(dict)
 
@@ -42,23 +42,23 @@
         return len(self._known)
 
     def find(self, instance: StartId) -> float | None:
-        """Requests a second that an endpoint takes; None where it is not limited."""
+        """Return an endpoint's limit in requests per second, or None if it has none."""
         known = self._known.get(instance)
         return known.per_s if known is not None else None
 
     def entry(self, instance: StartId) -> KnownLimit | None:
-        """The newest limit of an endpoint, also one that has ended."""
+        """Return the newest entry of an endpoint, also if its limit has ended."""
         return self._known.get(instance)
 
     def limited(self) -> list[StartId]:
-        """The endpoints that have a limit."""
+        """Return the endpoints that have a limit."""
         return [instance for instance, known in self._known.items() if known.per_s is not None]
 
     def record_answer(self, instance: StartId, answer: AdvertisedLimit, now_ms: int) -> bool:
-        """Update from an endpoint's answer; returns whether its limit changed.
+        """Update from an endpoint's answer; return whether its limit changed.
 
-        Answers on several connections overtake each other. One without a limit was made after its
-        request was sent, so it ends only a limit that was advertised before that.
+        Answers on several connections can arrive out of order. An answer without a limit is known
+        to be newer than its request only, so it ends a limit that was advertised before that.
         """
         if answer.per_s is not None:
             return self._put(instance, KnownLimit(answer.per_s, now_ms))
@@ -68,7 +68,7 @@
         return self._put(instance, KnownLimit(None, answer.sent_ms))
 
     def record_update(self, instance: StartId, update: KnownLimit) -> bool:
-        """Update from another node; returns whether the limit changed."""
+        """Update from another node; return whether the limit changed."""
         known = self._known.get(instance)
         if known is not None and update.observed_ms <= known.observed_ms:
             return False
@@ -80,7 +80,7 @@
         return before != newest.per_s
 
     def forget_all_but(self, instances: Collection[StartId], now_ms: int) -> None:
-        """Drop limits of removed endpoints, and those that ended long ago."""
+        """Drop limits of endpoints not in `instances`, and ended ones after their retention."""
         for instance, known in list(self._known.items()):
             ended = known.per_s is None and now_ms - known.observed_ms >= ENDED_RETENTION_MS
             if instance not in instances or ended:
