--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -1,27 +1,27 @@
-"""Spans and shares of the limits that endpoints name, with their units."""
+"""Limits and intervals of the rate limits of endpoints."""
 
 from saffronworks.forwarding.shares.limits import Tolerance
 
-# What an endpoint tolerates: in any 4 s, half as much again as it takes, and 5 requests.
+# What an endpoint tolerates beyond its limit in any 4 s: half of the limit, and 5 requests.
 LIMIT_TOLERANCE = Tolerance(window_ms=4000, overage=0.5, slack=5.0)
-# An endpoint that takes less, or nothing at all, still gets this much, as only an answer to a
-# request can tell that its need is over. It is within what is tolerated.
+# Lower limits, also 0, are raised to this rate, since only an answer to a request can show that
+# the limit has ended. The rate is within the tolerance.
 MIN_PER_S = 0.25
-# That a limit has ended is remembered for so long, so that older news of it doesn't bring it back.
+# The end of a limit is retained for this long, so that a late update doesn't restore the limit.
 ENDED_RETENTION_MS = 10_000
-# After a rejected ask a node backs off until there is room, and for a random part of a span. The
-# span begins with so much for each node of the fleet, grows with each rejection and shrinks with
-# each permit, so that about half of the asks succeed, whatever the number of nodes and callers.
+# After a rejected ask a node backs off until there is room, plus a random part of a span. The span
+# starts at BACKOFF_FIRST_MS per node, grows with each rejection and shrinks with each permit, so
+# that about half of the asks succeed whatever the number of nodes and callers.
 BACKOFF_FIRST_MS = 10
 BACKOFF_FACTOR = 4
 MIN_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 16_000
-# What a node has learnt goes to two others at this pace, three times; they tell it on.
+# A changed limit goes to GOSSIP_FANOUT neighbours, GOSSIP_REPEATS times, and they pass it on.
 GOSSIP_INTERVAL_MS = 100
 GOSSIP_FANOUT = 2
 GOSSIP_REPEATS = 3
-# A node that has just started asks so many others what they know, as it would send to each limited
-# endpoint once before that names its limit.
+# A node that starts queries this many peers for limits. Otherwise it would send each limited
+# endpoint a request without a permit before it learned the limit.
 PEERS_QUERIED_AT_START = 3
-# Limits in one message, 0.06 KB each.
+# At most this many limits, of 0.06 KB each, are in one message.
 MAX_LIMITS_PER_MESSAGE = 64
