--- a/saffronworks/forwarding/endpoint_limits/updates.py
+++ b/saffronworks/forwarding/endpoint_limits/updates.py
@@ -1,4 +1,4 @@
-"""Changed limits that are still to be published to peers."""
+"""Changed limits that have yet to be published to peers."""
 
 from collections.abc import Collection
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class PendingUpdates:
-    """Each change is published a few times; peers that did not know it publish it in turn."""
+    """Queue of changes, each published a few times; peers that lacked it publish it in turn."""
 
     _left: dict[StartId, int] = attrs.Factory(dict)
 
@@ -20,11 +20,11 @@
         return bool(self._left)
 
     def add(self, instance: StartId) -> None:
-        """The limit of an endpoint has changed."""
+        """Queue the changed limit of an endpoint."""
         self._left[instance] = GOSSIP_REPEATS
 
     def pop_batch(self) -> list[StartId]:
-        """The endpoints of the next message."""
+        """Return the endpoints of the next message, and count one publication of each."""
         chosen = list(self._left)[:MAX_LIMITS_PER_MESSAGE]
         for instance in chosen:
             self._left[instance] -= 1
@@ -33,6 +33,6 @@
         return chosen
 
     def forget_all_but(self, instances: Collection[StartId]) -> None:
-        """Drop removed endpoints."""
+        """Drop endpoints that are not in `instances`."""
         for instance in self._left.keys() - set(instances):
             del self._left[instance]
