--- a/saffronworks/forwarding/eligibility/__init__.py
+++ b/saffronworks/forwarding/eligibility/__init__.py
@@ -1,1 +1,1 @@
-"""Whether this node may send an endpoint a request now, by what the endpoint advertises."""
+"""Decides whether an endpoint may be sent a request now, by what it advertises."""
