--- a/saffronworks/forwarding/eligibility/advertisements.py
+++ b/saffronworks/forwarding/eligibility/advertisements.py
@@ -1,4 +1,4 @@
-"""What an endpoint advertises about itself in its answers."""
+"""The state that an endpoint advertises in the headers of its answers."""
 
 import attrs
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class Advertisement:
-    """What one answer says about the endpoint that made it.
+    """The state advertised in one answer of an endpoint.
 
-    `draining`: it is about to end and wants no new requests. `pause_ms`: with a rejection, how long
-    it wants no requests of this node, 0 where it names no time. `malformed` lists the fields that
-    can't be read, as `name: value`.
+    `draining`: the endpoint is shutting down and takes no new requests. `pause_ms`: how long a
+    rejecting endpoint takes no requests of this node; 0 if the answer has no such time.
+    `malformed` lists unreadable fields as `name: value`.
     """
 
     limit: AdvertisedLimit
