--- a/saffronworks/forwarding/eligibility/blocks.py
+++ b/saffronworks/forwarding/eligibility/blocks.py
@@ -1,4 +1,4 @@
-"""Why endpoints may not be sent a request now, and for how long."""
+"""Reasons and durations for which endpoints may not be sent requests."""
 
 import enum
 from collections.abc import Mapping, Set
@@ -11,19 +11,19 @@
 
 
 class BlockReason(enum.StrEnum):
-    """What keeps requests from an endpoint."""
+    """Why an endpoint may not be sent a request."""
 
-    # It is not listed any more, or another endpoint has its address.
+    # The endpoint is no longer listed, or another one has its address.
     GONE = "gone"
     DRAINING = "draining"
-    # It rejected a request of this node and wants none for some time.
+    # The endpoint rejected a request of this node and asked for a pause.
     PAUSED = "paused"
     RATE_LIMITED = "rate_limited"
 
 
 @attrs.frozen
 class Block:
-    """An endpoint may not be sent a request; after `for_ms` it may, None where that is unknown."""
+    """A block of an endpoint; it ends after `for_ms`, None if that is unknown."""
 
     reason: BlockReason
     for_ms: int | None = None
@@ -31,9 +31,9 @@
 
 @attrs.frozen
 class Eligibility:
-    """What a request knows of a service's endpoints when it chooses one.
+    """The eligibility of a service's endpoints for one request.
 
-    `blocks` has those that it may not be sent to; a send to one in `limited` needs a permit.
+    Endpoints in `blocks` may not be sent the request; those in `limited` require a permit.
     """
 
     blocks: Mapping[StartId, Block] = attrs.Factory(dict)
