--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -1,4 +1,4 @@
-"""Answers, for every path of sending, whether this node may send an endpoint a request now."""
+"""Decides, for every path that sends requests, whether an endpoint may be sent one now."""
 
 import logging
 from collections.abc import Callable, Collection, Set
@@ -16,17 +16,18 @@
 
 logger = logging.getLogger(__name__)
 
-# A request that has a reservation may follow so long after a pause began; endpoints bear what was
-# under way for half a second, of which the answer's way takes a part.
+# Requests with a reservation may still be sent for this long after a pause began. Endpoints accept
+# requests in flight for half a second, part of which the rejection's own transit uses up.
 PAUSE_GRACE_MS = 250
 
 
 class EndpointEligibility:
     """Combines what the store lists with what endpoints advertise about themselves.
 
-    An endpoint that advertises that it drains gets no new request as long as another one is left.
-    Requests that arrived up to `drain_ms` after it began may still go there where none is. One that
-    asks for a pause gets nothing until it is over, and has not failed: other nodes may still send.
+    A draining endpoint gets no new request as long as another endpoint is available. Otherwise
+    requests that arrived up to `drain_ms` after the drain began may still go there. A paused
+    endpoint gets no request of this node until the pause ends, but doesn't count as failed, as
+    other nodes may still send to it.
     """
 
     def __init__(
@@ -42,10 +43,10 @@
         self._now_ms = now_ms
         self._malformed: dict[StartId, tuple[str, ...]] = {}
 
-    # What endpoints say.
+    # Called for answers.
 
     def observe(self, endpoint: ServiceEndpoint, advertisement: Advertisement) -> None:
-        """Update what is known of an endpoint from one of its answers."""
+        """Update the state of an endpoint from one of its answers."""
         instance, now_ms, advertised = endpoint.instance, self._now_ms(), self._directory.advertised
         self._limits.observe(endpoint, advertisement.limit)
         if advertisement.draining and advertised.record_drain(instance, now_ms):
@@ -57,7 +58,7 @@
             self._log_malformed(instance, advertisement.malformed)
 
     def _log_malformed(self, instance: StartId, malformed: tuple[str, ...]) -> None:
-        """Once, however often an endpoint repeats it."""
+        """Log malformed fields once, however often the endpoint repeats them."""
         if self._malformed.get(instance) == malformed:
             return
         self._malformed[instance] = malformed
@@ -66,27 +67,27 @@
         )
 
     def forget_all_but(self, instances: Collection[StartId]) -> None:
-        """Drop what belongs to endpoints that are gone."""
+        """Drop the state of endpoints that are not in `instances`."""
         self._limits.forget_all_but(instances)
         self._directory.advertised.forget_all_but(instances, self._now_ms())
         for instance in self._malformed.keys() - set(instances):
             del self._malformed[instance]
 
-    # What requests ask.
+    # Called for requests.
 
     def usable(
         self, service: str, arrived_ms: int, role: Role | None = None
     ) -> list[ServiceEndpoint]:
-        """The endpoints of a service that a request of that arrival may choose from."""
+        """Return the endpoints that a request which arrived at `arrived_ms` may choose from."""
         now_ms = self._now_ms()
         usable = self._directory.usable(service, now_ms, role)
         since_ms = arrived_ms - self._drain_ms
         return usable or self._directory.draining_since(service, now_ms, role, since_ms)
 
     def eligibility_of(self, endpoints: Collection[ServiceEndpoint]) -> Eligibility:
-        """Which of the endpoints that a request may choose from are blocked for now.
+        """Return the blocks and limits of the endpoints that a request may choose from.
 
-        Those that drain are blocked as well, whether or not they are among these.
+        Draining endpoints that are not in `endpoints` are blocked as well.
         """
         limited = self._limits.limits_of(endpoints)
         blocks = {
@@ -109,9 +110,10 @@
     def find_block(
         self, endpoint: ServiceEndpoint, arrived_ms: int, reserved: bool = False
     ) -> Block | None:
-        """Why a request of that arrival may not be sent to an endpoint now; None where it may.
+        """Return why a request may not be sent to an endpoint now, or None if it may.
 
-        One with a reservation there was let in before a pause that has just begun.
+        A request with a reservation was admitted by the endpoint before a pause began, so it may
+        be sent during the grace period.
         """
         listed = self._directory.endpoints.get(endpoint.instance)
         if listed is None:
@@ -133,9 +135,9 @@
         request_id: str,
         reserved: bool = False,
     ) -> None:
-        """Raise Break right before a send, if its endpoint was blocked since it was chosen.
+        """Raise Break right before a send if the endpoint was blocked after it was chosen.
 
-        In between the node opens a connection, asks for a permit or has a prompt read.
+        Opening a connection, acquiring a permit or a prefill takes time in between.
         """
         block = self.find_block(endpoint, arrived_ms, reserved)
         if block is None:
@@ -151,7 +153,7 @@
         raise Break(BreakCause.WITHHELD, sent=False)
 
     def describe(self, instance: StartId) -> str:
-        """The state that an endpoint advertises, for a log line."""
+        """Return the advertised state of an endpoint for a log line."""
         advertised = self._directory.advertised
         if advertised.draining_since_ms(instance) is not None:
             return "draining"
