--- a/saffronworks/forwarding/eligibility/table.py
+++ b/saffronworks/forwarding/eligibility/table.py
@@ -1,4 +1,4 @@
-"""What endpoints have advertised to this node: which of them drain, and which are paused."""
+"""The draining and paused endpoints, as they advertised it to this node."""
 
 from collections.abc import Collection, Set
 
@@ -8,14 +8,14 @@
 
 __all__ = ["AdvertisedTable", "Pause"]
 
-# How long the state of an endpoint is kept after its entry is gone: a listing that was made before,
-# or an entry that lapsed while the store was away, brings the same start back.
+# How long the state of an endpoint is kept after its entry is gone. A stale listing, or an entry
+# that expired during an outage of the store, can bring back the same start of the endpoint.
 KEEP_GONE_MS = 60_000
 
 
 @attrs.frozen
 class Pause:
-    """A span, by the steady clock, in which an endpoint wants no requests of this node."""
+    """An interval of the monotonic clock in which an endpoint takes no requests of this node."""
 
     since_ms: int
     until_ms: int
@@ -23,7 +23,7 @@
 
 @attrs.define
 class AdvertisedTable:
-    """Advertised state by start of an endpoint; a later start begins without any."""
+    """Advertised state by endpoint start; an endpoint that restarts begins without any."""
 
     _draining_since_ms: dict[StartId, int] = attrs.Factory(dict)
     _pauses: dict[StartId, Pause] = attrs.Factory(dict)
@@ -33,33 +33,33 @@
         return len(self._draining_since_ms) + len(self._pauses)
 
     def draining_since_ms(self, instance: StartId) -> int | None:
-        """When this node learnt that the endpoint drains; None while it does not."""
+        """Return when this node learned that the endpoint drains, or None if it doesn't."""
         return self._draining_since_ms.get(instance)
 
     def draining(self) -> Set[StartId]:
-        """All endpoints that are known to drain."""
+        """Return all draining endpoints."""
         return self._draining_since_ms.keys()
 
     def pause(self, instance: StartId, now_ms: int) -> Pause | None:
-        """The pause that the endpoint asked for, while it lasts."""
+        """Return the current pause of an endpoint, or None."""
         pause = self._pauses.get(instance)
         return pause if pause is not None and now_ms < pause.until_ms else None
 
     def pauses(self, now_ms: int) -> dict[StartId, Pause]:
-        """All pauses that last."""
+        """Return all current pauses."""
         return {one: pause for one, pause in self._pauses.items() if now_ms < pause.until_ms}
 
     def record_drain(self, instance: StartId, now_ms: int) -> bool:
-        """The endpoint drains; returns whether that is new. Only its end ends it."""
+        """Record that an endpoint drains until it ends; return whether that is new."""
         if instance in self._draining_since_ms:
             return False
         self._draining_since_ms[instance] = now_ms
         return True
 
     def record_pause(self, instance: StartId, pause_ms: int, now_ms: int) -> bool:
-        """The endpoint asks for a pause; returns whether it ends later than known before.
+        """Record a pause; return whether it ends later than the current one.
 
-        Each rejection holds until its own end, so a shorter one takes nothing back.
+        A shorter pause doesn't cut a longer one short.
         """
         known = self.pause(instance, now_ms)
         until_ms = now_ms + pause_ms
@@ -69,7 +69,7 @@
         return True
 
     def forget_all_but(self, instances: Collection[StartId], now_ms: int) -> None:
-        """Drop pauses that are over, and endpoints that have been gone for long."""
+        """Drop pauses that are over, and endpoints missing from `instances` for KEEP_GONE_MS."""
         for instance, pause in list(self._pauses.items()):
             if now_ms >= pause.until_ms:
                 del self._pauses[instance]
