--- a/saffronworks/forwarding/shares/__init__.py
+++ b/saffronworks/forwarding/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Bounds over the fleet: so much a second by all nodes together, kept in shares by holders."""
+"""Rate limits over all nodes together, divided into shares that holder nodes enforce."""
