--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -1,9 +1,9 @@
-"""Holds shares of limits: `step(state, event, limit, now_ms)` answers entry nodes.
+"""Admits requests within one node's shares: `step(state, event, limit, now_ms)` answers asks.
 
-The limit of a subject lies in equal shares with three nodes, chosen by hash. Each admits by its own
-share and needs no word of the others, so that nodes which don't hear each other never admit more
-than the limit together. What a holder knows is soft state: one that just started takes it that all
-of its share was used up but for a part of what is tolerated beyond the limit.
+The limit of a subject is divided equally among three holders, chosen by hash. Each admits within
+its own share without messages to the others, so that partitioned nodes together never admit more
+than the limit. A holder's state isn't persisted. One that has just started assumes that its share
+was used up, except for a part of the tolerance.
 """
 
 import attrs
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class ShareChanged:
-    """Told once: a subject used up its share here, or is well within it again."""
+    """A subject has used up its share at this holder, or is well within it again."""
 
     subject: str
     exceeded: bool
@@ -36,24 +36,24 @@
 
 @attrs.define
 class HolderState:
-    """The accounts of subjects that were heard of; `began_ms`: since when all were.
+    """Leaky buckets by subject; `since_ms` is since when this node has counted all requests.
 
-    `in_turn`: who is refused is told a time to return that no other one was told.
+    `stagger_retries`: each refused caller gets a later retry time than the one before.
     """
 
     tolerance: Tolerance
-    began_ms: int
+    since_ms: int
     stagger_retries: bool = True
     buckets: dict[str, LeakyBucket] = attrs.Factory(dict)
-    _forgot_ms: int = 0
+    _expired_ms: int = 0
 
     def update_nodes(self, now_ms: int) -> None:
-        """Other nodes are there: this one may hold shares that another one held until now."""
-        self.began_ms = now_ms
+        """Start counting anew after nodes changed, as shares may have moved to this node."""
+        self.since_ms = now_ms
 
     def bucket(self, event: Event, share: Limit, now_ms: int) -> LeakyBucket:
-        """What is known of a subject up to now."""
-        self._forget_idle(now_ms)
+        """Return the bucket of a subject, drained up to now; create it if it is missing."""
+        self._expire_idle(now_ms)
         name = event.subject
         if name not in self.buckets:
             first_level = self._first_level(share, event.holders, now_ms)
@@ -64,19 +64,19 @@
         return bucket
 
     def capacity(self, share: Limit, holders: int) -> float:
-        """The most that a subject may owe here when an ask of it has been admitted."""
+        """Return the level up to which the bucket of a subject may be filled."""
         return share.burst + EARLY_SHARE * self.tolerance.share(holders).spare(share)
 
     def _first_level(self, share: Limit, holders: int, now_ms: int) -> float:
-        if now_ms - self.began_ms >= self.tolerance.window_ms:
+        if now_ms - self.since_ms >= self.tolerance.window_ms:
             return 0.0
         spare = self.tolerance.share(holders).spare(share)
         return max(0.0, self.capacity(share, holders) - NEW_HOLDER_SHARE * spare)
 
-    def _forget_idle(self, now_ms: int) -> None:
-        if now_ms - self._forgot_ms < BUCKET_EXPIRY_INTERVAL_MS:
+    def _expire_idle(self, now_ms: int) -> None:
+        if now_ms - self._expired_ms < BUCKET_EXPIRY_INTERVAL_MS:
             return
-        self._forgot_ms = now_ms
+        self._expired_ms = now_ms
         for name, bucket in list(self.buckets.items()):
             bucket.drain(now_ms)
             if bucket.idle:
@@ -86,7 +86,10 @@
 def step(
     state: HolderState, event: Event, limit: Limit, now_ms: int
 ) -> list[Answer | ShareChanged]:
-    """The answer to an ask, and what changed; `limit` is the subject's whole limit."""
+    """Apply an event; return the answer to an ask, and a change of the share if there is one.
+
+    `limit` is the subject's whole limit.
+    """
     share = limit.share(event.holders)
     bucket = state.bucket(event, share, now_ms)
     match event:
