--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -1,4 +1,4 @@
-"""What a holder knows of its share of one limit: what ran, and when there is room again."""
+"""The leaky bucket that a holder keeps for its share of one limit."""
 
 import math
 from collections import OrderedDict
@@ -22,10 +22,10 @@
 
 @attrs.define
 class LeakyBucket:
-    """What was counted and is not yet made up for by the time that passed: a debt.
+    """A leaky bucket: `level` rises by the cost of each request and drains at `per_s`.
 
-    Asks are known by their ids for a while, so that a message that comes twice counts once and what
-    was not run is given back once.
+    Counted asks are kept by id for a while, so that a duplicate message counts once and a cost is
+    refunded once.
     """
 
     level: float
@@ -37,11 +37,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is known that a new account wouldn't say as well."""
+        """Whether the bucket holds nothing that a new one would lack."""
         return not self.level and not self._counted
 
     def drain(self, now_ms: int) -> None:
-        """The debt falls at the share's rate."""
+        """Lower the level by the time that has passed, and drop counted asks that are old."""
         self.level = max(0.0, self.level - self.per_s * max(0, now_ms - self.at_ms) / 1000)
         self.at_ms = max(self.at_ms, now_ms)
         while self._counted:
@@ -54,36 +54,35 @@
             self._counted.popitem(last=False)
 
     def has_counted(self, ask_id: str) -> bool:
-        """Whether a request is counted already."""
+        """Return whether an ask is counted already."""
         return ask_id in self._counted
 
     def fits(self, cost: int, capacity: float) -> bool:
-        """Whether a request fits; one larger than the whole capacity does when nothing is owed."""
+        """Return whether a request fits; one larger than the capacity fits an empty bucket."""
         return self.level + cost <= capacity or not self.level
 
     def count(self, ask_id: str, cost: int, now_ms: int) -> None:
-        """A request runs."""
+        """Add the cost of an ask, once."""
         if ask_id not in self._counted:
             self.level += cost
             self._counted[ask_id] = _Counted(cost, now_ms)
 
     def refund(self, ask_id: str) -> None:
-        """A request that was counted did not run."""
+        """Subtract the cost of an ask whose request did not run."""
         counted = self._counted.pop(ask_id, None)
         if counted is not None:
             self.level = max(0.0, self.level - counted.cost)
 
     def room_after_ms(self, cost: int, capacity: float) -> int:
-        """After how long there is room, if nothing else is admitted meanwhile."""
-        # What is larger than the whole capacity fits when nothing is owed.
+        """Return after how long a request fits if nothing else is admitted meanwhile."""
+        # A request larger than the capacity fits once the bucket is empty.
         excess = min(self.level, max(0.0, self.level + cost - capacity))
         return max(1, math.ceil(1000 * excess / self.per_s))
 
     def next_return_ms(self, cost: int, room_after_ms: int, now_ms: int) -> int:
-        """After how long a refused caller may return: each in a turn of its own.
+        """Return after how long a refused caller may retry, later for each caller.
 
-        When all were told when there is room for one, they came back together, and all but one were
-        refused again.
+        With the same retry time for all, they would return together and all but one be refused.
         """
         turn_ms = self._next_return_ms + 1000 * cost / self.per_s
         turn_ms = max(now_ms + room_after_ms, turn_ms)
