--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -166,9 +166,9 @@
         if not len(self._table):
             return NOT_LIMITED
         now_ms = self._now_ms()
-        limits = {e.instance for e in endpoints if self._table.find(e.instance) is not None}
-        closed = {instance: self._backoff.remaining_ms(instance, now_ms) for instance in limits}
-        return Limited(limits, {instance: left for instance, left in closed.items() if left})
+        limited = {e.instance for e in endpoints if self._table.find(e.instance) is not None}
+        backoff = {instance: self._backoff.remaining_ms(instance, now_ms) for instance in limited}
+        return Limited(limited, {instance: left for instance, left in backoff.items() if left})
 
     async def acquire_permit(
         self, endpoint: ServiceEndpoint, request_id: str, calls: int = 1
