--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -1,4 +1,4 @@
-"""What a node that hears no holder admits: its part of what is tolerated beyond limits."""
+"""Limits what a node admits while it reaches no holder: its part of the tolerance."""
 
 from collections.abc import Set
 
@@ -22,12 +22,12 @@
 
 @attrs.define
 class Allowances:
-    """A credit for each subject, which grows to half of a node's part of one window.
+    """A credit per subject, which grows up to half of the node's part of one window.
 
-    Such a part is less than one generation at 60 nodes. So a request may also draw for its place:
-    its chance is the credit's share of its cost, and won or lost, the credit is gone. What all
-    nodes that are alone admit stays within their parts in the mean, and those that hold shares need
-    not know of it.
+    With 60 nodes such a part is smaller than one generation. A request that costs more than the
+    credit is therefore admitted at random, with the probability credit / cost, and the credit is
+    spent in either case. On average all isolated nodes stay within their parts, without messages
+    to holders.
     """
 
     tolerance: Tolerance
@@ -35,8 +35,8 @@
     _credits: dict[str, _Credit] = attrs.Factory(dict)
 
     def admit(self, ask: Ask, now_ms: int) -> bool:
-        """Whether a request may run; the draw is by its id, so the same at each look."""
-        # Half of the part at once and half of it over a window: no window sees more than all.
+        """Return whether a request may run; the draw is a hash of its id, so it is repeatable."""
+        # Half of the part at once and the other half over a window keep every window within it.
         half = NO_HOLDER_SHARE * self.tolerance.spare(ask.limit) / max(1, self.nodes) / 2
         credit = self._credits.setdefault(ask.subject, _Credit(half, now_ms))
         grown = half * max(0, now_ms - credit.at_ms) / self.tolerance.window_ms
@@ -49,6 +49,6 @@
         return won
 
     def keep_only(self, subjects: Set[str]) -> None:
-        """Forget subjects that are gone."""
+        """Drop all subjects but the given ones."""
         for name in self._credits.keys() - subjects:
             del self._credits[name]
