--- a/saffronworks/forwarding/shares/events.py
+++ b/saffronworks/forwarding/shares/events.py
@@ -1,4 +1,4 @@
-"""What entry nodes and holders of a bound tell each other, whatever it bounds."""
+"""Events and answers between entry nodes and holders, independent of the kind of limit."""
 
 import attrs
 
@@ -9,9 +9,9 @@
 
 @attrs.frozen
 class Ask:
-    """Entry to holder: may something of this cost run within your share of the subject's limit?
+    """Entry node to holder: requests admission within the holder's share of a subject's limit.
 
-    `limit` is the whole one as the entry node knows it; `holders` is how many share it.
+    `limit` is the whole limit as the entry node has it, `holders` the number of shares.
     """
 
     ask_id: str
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Answer:
-    """Holder to entry: it was counted and may run, or there is room after `retry_after_ms`."""
+    """Holder to entry node: admitted and counted, or room expected in `retry_after_ms`."""
 
     ask_id: str
     admitted: bool
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ChargeAgain:
-    """Entry to holder: what was admitted is run once more, and counts once more."""
+    """Entry node to holder: an admitted request runs once more and is charged again."""
 
     ask_id: str
     subject: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Refund:
-    """Entry to holder: what it admitted was not run."""
+    """Entry node to holder: an admitted request did not run."""
 
     ask_id: str
     subject: str
