--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -47,7 +47,7 @@
     buckets: dict[str, LeakyBucket] = attrs.Factory(dict)
     _expired_ms: int = 0
 
-    def update_nodes(self, now_ms: int) -> None:
+    def on_nodes_changed(self, now_ms: int) -> None:
         """Start counting anew after nodes changed, as shares may have moved to this node."""
         self.since_ms = now_ms
 
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -66,7 +66,7 @@
         """Which nodes there are, by their addresses, with their processor cores."""
         now_ms = self._now_ms()
         if cores.keys() != self.entry.choice.cores.keys():
-            self.holder_state.update_nodes(now_ms)
+            self.holder_state.on_nodes_changed(now_ms)
         self.entry.choice.cores = cores
         self.entry.ring.update(cores, now_ms)
         self.entry.allowances.nodes = max(1, len(cores))
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -74,7 +74,7 @@
         """A node has counted the others, and these are gone; new holders are there."""
         now_ms, left = self._fleet.now_ms, [node for node in self._fleet.names if node not in gone]
         self.nodes[name].entry.ring.update(left, now_ms)
-        self.nodes[name].holder_state.update_nodes(now_ms)
+        self.nodes[name].holder_state.on_nodes_changed(now_ms)
 
     def ask(self, name, ask, settle):
         """Have a node ask for leave; `settle(command)` is called with what came of it."""
