--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -1,4 +1,4 @@
-"""One bound over the fleet at one node: asks holders for what its own callers want, and is one."""
+"""One limit over all nodes, as one node enforces it: as an entry node and as a holder."""
 
 import itertools
 import secrets
@@ -23,13 +23,14 @@
 
 
 class SharedLimit:
-    """Asks one of a subject's holders after the other until one admits; holds shares for others.
+    """Asks a subject's holders in turn until one admits, and holds shares for other nodes.
 
-    An ask waits for one message there and back, some milliseconds; for three where shares are used
-    up. Where no holder answers the node admits a little by itself.
+    An ask takes one round trip of some milliseconds, or three if shares are exhausted. If no
+    holder answers, the node admits a small allowance by itself.
 
-    `limit_of`: a subject's whole limit as this node knows it, None where there is none any more.
-    `tell` sends to another node. `note_silent` hears of a holder that did not answer an ask.
+    `limit_of` returns a subject's whole limit as this node has it, or None if it has none.
+    `tell` sends to another node. `on_change` is called when
+    a share of this node is exhausted or has recovered.
     """
 
     def __init__(
@@ -49,21 +50,21 @@
         self._tell = tell
         self._note_change = on_change
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
-        # A holder's work is small, so all nodes share it: few subjects lose all three at once.
+        # Holding shares costs little, so all nodes do; few subjects then lose all three holders.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
         self.holder_state = HolderState(tolerance, now_ms(), stagger_retries)
-        # Ids of asks; those of an earlier life of this node must not come again.
-        self._life, self._numbers = secrets.token_hex(4), itertools.count()
+        # Ask ids must not repeat those from before a restart of this node.
+        self._incarnation, self._numbers = secrets.token_hex(4), itertools.count()
         self._answers: dict[str, Answer] = {}
-        self._arrived: dict[str, anyio.Event] = {}
+        self._pending: dict[str, anyio.Event] = {}
 
     @property
     def nodes(self) -> int:
-        """How many nodes are known."""
+        """The number of nodes."""
         return len(self.entry.choice.cores)
 
     def update_nodes(self, cores: dict[str, float]) -> None:
-        """Which nodes there are, by their addresses, with their processor cores."""
+        """Replace the nodes: processor cores by address."""
         now_ms = self._now_ms()
         if cores.keys() != self.entry.choice.cores.keys():
             self.holder_state.on_nodes_changed(now_ms)
@@ -72,12 +73,15 @@
         self.entry.allowances.nodes = max(1, len(cores))
 
     def make_ask(self, subject: str, cost: int, limit: Limit) -> Ask:
-        """An ask of this node, with an id of its own."""
-        ask_id = f"{self._life}-{next(self._numbers):x}"
+        """Return an ask with a unique id."""
+        ask_id = f"{self._incarnation}-{next(self._numbers):x}"
         return Ask(ask_id, subject, cost, limit, self.entry.ring.shares(self._now_ms()))
 
     async def acquire(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
-        """Whether what is asked for may run: `Admitted`, `Refused` or `Unknown`."""
+        """Ask the holders; return `Admitted`, `Refused` or `Unknown`.
+
+        `note_silent` is called with each holder that does not answer.
+        """
         query = HolderQuery(ask)
         command = entry.step(self.entry, query, QueryStarted(), self._now_ms())
         while isinstance(command, AskHolder):
@@ -88,47 +92,47 @@
         return command
 
     async def _ask(self, node: str, ask: Ask) -> entry.Event:
-        """Have a holder count an ask; it may be this node."""
+        """Send an ask to a holder, which may be this node."""
         own = node == self._own_address
         answer = self.apply(ask) if own else await self._ask_other(node, ask)
         return entry.Answered(node, answer) if answer is not None else entry.HolderTimedOut(node)
 
     async def _ask_other(self, node: str, ask: Ask) -> Answer | None:
-        self._arrived[ask.ask_id] = anyio.Event()
+        self._pending[ask.ask_id] = anyio.Event()
         self._tell(node, ask)
         try:
             with anyio.move_on_after(HOLDER_TIMEOUT_MS / 1000):
-                await self._arrived[ask.ask_id].wait()
+                await self._pending[ask.ask_id].wait()
             return self._answers.pop(ask.ask_id, None)
         finally:
-            del self._arrived[ask.ask_id]
+            del self._pending[ask.ask_id]
 
     def send(self, node: str, event: ChargeAgain | Refund) -> None:
-        """Tell a holder, which may be this node, what became of something that it admitted."""
+        """Send a holder, which may be this node, a correction of what it has counted."""
         if node == self._own_address:
             self.apply(event)
         else:
             self._tell(node, event)
 
     def refund(self, ask: Ask | None, node: str | None) -> None:
-        """What a holder admitted was not run; nothing is told where no holder counted it."""
+        """Refund an ask that did not run, if a holder counted it."""
         if ask is not None and node is not None:
             self.send(node, Refund(ask.ask_id, ask.subject, ask.holders))
 
     def handle_answer(self, answer: Answer) -> None:
-        """A holder answered."""
-        if answer.ask_id in self._arrived:
+        """Hand a holder's answer to the ask that waits for it."""
+        if answer.ask_id in self._pending:
             self._answers[answer.ask_id] = answer
-            self._arrived[answer.ask_id].set()
+            self._pending[answer.ask_id].set()
 
     def answer(self, node: str, ask: Ask) -> None:
-        """Another node asks this one as a holder."""
+        """Answer an ask of another node."""
         answer = self.apply(ask)
         if answer is not None:
             self._tell(node, answer)
 
     def apply(self, event: holder.Event) -> Answer | None:
-        """Take what concerns a share that is held here; the answer where it is an ask."""
+        """Apply an event to a share of this node; return the answer to an ask."""
         limit = self._limit_of(event)
         if limit is None:
             return Answer(event.ask_id, True) if isinstance(event, Ask) else None
