--- a/saffronworks/forwarding/shares/limits.py
+++ b/saffronworks/forwarding/shares/limits.py
@@ -1,4 +1,4 @@
-"""How much may run in a time, and how far above that it may get."""
+"""Rate limits, and the tolerance for exceeding them."""
 
 import attrs
 
@@ -7,21 +7,21 @@
 
 @attrs.frozen
 class Limit:
-    """So much a second, and a burst on top, by all nodes together."""
+    """A rate per second and a burst, for all nodes together."""
 
     per_s: float
     burst: float
 
     def share(self, holders: int) -> "Limit":
-        """What one of so many holders may admit."""
+        """Return the share of one holder."""
         return Limit(self.per_s / holders, self.burst / holders)
 
 
 @attrs.frozen
 class Tolerance:
-    """What is tolerated beyond limits in any span of `window_ms`, over all nodes together.
+    """What is tolerated beyond a limit in any window of `window_ms`, over all nodes together.
 
-    That is `overage`, a share of what a limit allows in the span, and `slack` in its unit.
+    It is the fraction `overage` of what the limit allows in the window, plus `slack` in its unit.
     """
 
     window_ms: int
@@ -29,10 +29,10 @@
     slack: float
 
     def share(self, holders: int) -> "Tolerance":
-        """What one of so many holders may use of it."""
+        """Return the share of one holder."""
         return attrs.evolve(self, slack=self.slack / holders)
 
     def spare(self, limit: Limit) -> float:
-        """How much more than its limit may run in one window."""
+        """Return how much may run in one window beyond the limit."""
         allowed = limit.per_s * self.window_ms / 1000 + limit.burst
         return self.overage * allowed + self.slack
