--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -82,7 +82,7 @@
             uncounted_nodes,
             now_ms,
             limit_of=self._limit_of,
-            tell=self._send,
+            send_message=self._send,
             on_change=_log_change,
             stagger_retries=False,
         )
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -64,7 +64,7 @@
             uncounted_nodes,
             now_ms,
             limit_of=self._limit,
-            tell=self._tell,
+            send_message=self._tell,
             on_change=self._log_change,
         )
 
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -40,14 +40,14 @@
         uncounted_nodes: int,
         now_ms: Callable[[], int],
         limit_of: Callable[[holder.Event], Limit | None],
-        tell: Callable[[str, ShareMessage], None],
+        send_message: Callable[[str, ShareMessage], None],
         on_change: Callable[[ShareChanged], None],
         stagger_retries: bool = True,
     ):
         self._own_address = own_address
         self._now_ms = now_ms
         self._limit_of = limit_of
-        self._tell = tell
+        self._send_message = send_message
         self._note_change = on_change
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
         # Holding shares costs little, so all nodes do; few subjects then lose all three holders.
@@ -99,7 +99,7 @@
 
     async def _ask_other(self, node: str, ask: Ask) -> Answer | None:
         self._pending[ask.ask_id] = anyio.Event()
-        self._tell(node, ask)
+        self._send_message(node, ask)
         try:
             with anyio.move_on_after(HOLDER_TIMEOUT_MS / 1000):
                 await self._pending[ask.ask_id].wait()
@@ -112,7 +112,7 @@
         if node == self._own_address:
             self.apply(event)
         else:
-            self._tell(node, event)
+            self._send_message(node, event)
 
     def refund(self, ask: Ask | None, node: str | None) -> None:
         """Refund an ask that did not run, if a holder counted it."""
@@ -129,7 +129,7 @@
         """Answer an ask of another node."""
         answer = self.apply(ask)
         if answer is not None:
-            self._tell(node, answer)
+            self._send_message(node, answer)
 
     def apply(self, event: holder.Event) -> Answer | None:
         """Apply an event to a share of this node; return the answer to an ask."""
