--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -29,8 +29,8 @@
     holder answers, the node admits a small allowance by itself.
 
     `limit_of` returns a subject's whole limit as this node has it, or None if it has none.
-    `tell` sends to another node. `on_change` is called when
-    a share of this node is exhausted or has recovered.
+    `send_message` sends a message to another node. `on_change` is called when a share of this node
+    is exhausted or has recovered.
     """
 
     def __init__(
