--- a/saffronworks/forwarding/shares/entry.py
+++ b/saffronworks/forwarding/shares/entry.py
@@ -1,6 +1,6 @@
-"""Decides at an entry node which holders of a bound to ask, and what holds when none answers.
+"""Decides at an entry node which holders to ask, and the outcome if none admits.
 
-`step(state, query, event, now_ms)` gives the next command for one request.
+`step(state, query, event, now_ms)` returns the next command for one request.
 """
 
 import attrs
@@ -29,7 +29,7 @@
 
 @attrs.define
 class EntryState:
-    """Who was silent, who holds which bound, and what this node may admit by itself."""
+    """Unresponsive nodes, the holders of each subject, and this node's own allowances."""
 
     choice: NodeChoice
     ring: HolderRing
@@ -38,9 +38,9 @@
 
 @attrs.define
 class HolderQuery:
-    """One request: which holders are left to ask, and what was heard.
+    """The query of one request: holders left to ask, and the answers so far.
 
-    `heard_all` tells whether each holder answered; `retry_after_ms` is the least that was told.
+    `all_answered`: no holder was skipped or timed out. `retry_after_ms`: the shortest one received.
     """
 
     ask: Ask
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class QueryStarted:
-    """A request is to be counted."""
+    """A request needs admission."""
 
 
 @attrs.frozen
@@ -64,35 +64,35 @@
 
 @attrs.frozen
 class HolderTimedOut:
-    """A holder was silent."""
+    """A holder did not answer in time."""
 
     holder: str
 
 
 @attrs.frozen
 class AskHolder:
-    """Ask this node, and wait a moment for its answer."""
+    """Ask this holder and wait for its answer."""
 
     holder: str
 
 
 @attrs.frozen
 class Admitted:
-    """It may run: by this holder's share, or (None) on the node's own account."""
+    """The request may run, counted by `holder`, or by this node's allowance if None."""
 
     holder: str | None
 
 
 @attrs.frozen
 class Refused:
-    """It is beyond the limit; there is room after `retry_after_ms`."""
+    """The request exceeds the limit; room is expected in `retry_after_ms`."""
 
     retry_after_ms: int
 
 
 @attrs.frozen
 class Unknown:
-    """No holder answered, and this node may admit no more by itself."""
+    """No holder answered, and this node's allowance is used up."""
 
 
 Event = QueryStarted | Answered | HolderTimedOut
@@ -100,7 +100,7 @@
 
 
 def step(state: EntryState, query: HolderQuery, event: Event, now_ms: int) -> Command:
-    """The next command for one request."""
+    """Apply an event and return the next command for one request."""
     match event:
         case QueryStarted():
             _choose(state, query, now_ms)
@@ -109,18 +109,18 @@
             if answer.admitted:
                 return Admitted(holder)
             known_ms = query.retry_after_ms
-            told_ms = answer.retry_after_ms
-            query.retry_after_ms = told_ms if known_ms is None else min(known_ms, told_ms)
+            offered_ms = answer.retry_after_ms
+            query.retry_after_ms = offered_ms if known_ms is None else min(known_ms, offered_ms)
         case HolderTimedOut(holder):
             state.choice.avoid(holder, now_ms)
             query.all_answered = False
     if query.left:
         return AskHolder(query.left.pop(0))
-    return _settle_unadmitted(state, query, now_ms)
+    return _decide_unadmitted(state, query, now_ms)
 
 
 def _choose(state: EntryState, query: HolderQuery, now_ms: int) -> None:
-    """Requests go to the holders in turn; those that were silent a moment ago are passed over."""
+    """Choose the order of holders by a hash of the ask, and skip recently unresponsive ones."""
     holders = state.ring.holders(query.ask.subject)
     active = state.ring.active_holders(query.ask.subject, now_ms)
     turn = hash32(query.ask.ask_id) % max(1, len(active))
@@ -129,8 +129,8 @@
     query.all_answered = bool(holders) and len(query.left) == len(holders)
 
 
-def _settle_unadmitted(state: EntryState, query: HolderQuery, now_ms: int) -> Command:
-    """No share has room, but for those of silent holders: a little is admitted without them."""
+def _decide_unadmitted(state: EntryState, query: HolderQuery, now_ms: int) -> Command:
+    """Decide after no holder admitted; use the allowance if a holder did not answer."""
     ask = query.ask
     if not query.all_answered and state.allowances.admit(ask, now_ms):
         return Admitted(None)
