--- a/saffronworks/forwarding/shares/ring.py
+++ b/saffronworks/forwarding/shares/ring.py
@@ -1,4 +1,4 @@
-"""Which nodes hold the limit of a subject: the same at all nodes, without a message."""
+"""Consistent hashing of subjects to holders, the same at all nodes without messages."""
 
 from bisect import bisect
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class _View:
-    """The nodes that were known for a time, in the order of their hashes."""
+    """The nodes at one time, ordered by hash; `until_ms` is when the next view replaced it."""
 
     points: list[int] = attrs.Factory(list)
     nodes: list[str] = attrs.Factory(list)
@@ -32,11 +32,11 @@
 
 @attrs.define
 class HolderRing:
-    """Nodes in the order of their hashes; a subject's holders are the next three after its own.
+    """Nodes ordered by hash; the holders of a subject are the three nodes after its hash.
 
-    A node that joins or leaves moves the limits beside it alone. At 1,600 nodes and 29,000
-    organisations an entry node's decision takes 15 us (`make bench`, part quotas), where ranking
-    all nodes for each organisation made it 1.8 ms.
+    A node that joins or leaves moves only the subjects next to it. With 1,600 nodes and 29,000
+    organisations a decision of an entry node takes 15 us (`make bench`, part quotas); ranking all
+    nodes per organisation took 1.8 ms.
     """
 
     _view: _View = attrs.Factory(_View)
@@ -44,21 +44,21 @@
     _changed_ms: int | None = None
 
     def update(self, nodes: Iterable[str], now_ms: int) -> None:
-        """Which nodes there are from now on."""
+        """Replace the list of nodes."""
         ordered = sorted((hash64(node), node) for node in nodes)
         newest = _View([point for point, _ in ordered], [node for _, node in ordered])
         if newest.nodes == self._view.nodes:
             return
-        if self._was_asked(now_ms):
+        if self._was_established(now_ms):
             self._earlier.append(attrs.evolve(self._view, until_ms=now_ms))
-        self._forget_earlier(now_ms)
+        self._expire_earlier(now_ms)
         self._view, self._changed_ms = newest, now_ms
 
-    def _was_asked(self, now_ms: int) -> bool:
-        """Whether the view lasted long enough for its holders to have given out whole limits.
+    def _was_established(self, now_ms: int) -> bool:
+        """Return whether the view lasted long enough for its holders to have used whole limits.
 
-        Right after a start it grows with each count. With fewer nodes than holders it leaves shares
-        out until it is settled, so that a new node takes none of another one's.
+        After a start the view grows with each count of the nodes. A view with fewer nodes than
+        holders leaves shares unassigned until it is settled, so a new node takes over no share.
         """
         if self._changed_ms is None:
             return False
@@ -67,28 +67,28 @@
         return lasted_ms >= (ESTABLISHED_VIEW_MS if complete else SETTLED_MS)
 
     def shares(self, now_ms: int) -> int:
-        """Into how many shares a limit is divided."""
+        """Return the number of shares into which a limit is divided."""
         settled = self._changed_ms is not None and now_ms - self._changed_ms >= SETTLED_MS
         return max(1, min(HOLDERS, len(self._view.nodes))) if settled else HOLDERS
 
     def holders(self, subject: str) -> list[str]:
-        """The nodes among which its limit is shared out; none before nodes are known."""
+        """Return the nodes that hold shares of a subject's limit; none before nodes are known."""
         return self._view.holders(subject)
 
     def active_holders(self, subject: str, now_ms: int) -> list[str]:
-        """Of its holders, those that were some before the changes of the last time as well.
+        """Return the holders that also held a share before recent changes of the nodes.
 
-        Nodes that know different holders would else use more than three shares between them. One
-        that was away for a moment is asked again at once: nobody asks the one in its place so soon.
+        Nodes with different views would otherwise use more than three shares together. A holder
+        that returns soon is asked at once, as no node has asked its replacement yet.
         """
-        self._forget_earlier(now_ms)
+        self._expire_earlier(now_ms)
         holders = self.holders(subject)
         if not self._earlier:
             return holders
         before = self._earlier[0].holders(subject)
         return [node for node in holders if node in before]
 
-    def _forget_earlier(self, now_ms: int) -> None:
+    def _expire_earlier(self, now_ms: int) -> None:
         self._earlier = [
             view
             for view in self._earlier
