--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -1,31 +1,30 @@
-"""Shares and waits of bounds over the fleet, with their units."""
+"""Numbers of shares and intervals of limits over all nodes."""
 
-# Nodes among which a limit is shared out: with one gone two thirds are left, more than the usual.
+# Holders of a limit. With one down, two thirds of the limit are left, more than usual use.
 HOLDERS = 3
-# Fewer nodes than that share a limit among themselves only once all know that there are so few:
-# they count each other every 5 to 15 s. Before, a node that knew itself alone held a whole limit
-# beside others that held halves and thirds: 1.16 of what may run, in a fleet of three that stopped
-# and started.
+# With fewer nodes than HOLDERS a limit is divided by their number only after this long, when all
+# nodes have counted each other, which happens every 5 to 15 s. Otherwise a node that sees only
+# itself would use a whole limit while others use halves and thirds.
 SETTLED_MS = 30_000
-# Nodes count each other every 5 to 15 s, by answers that may be seconds old. For twice as long new
-# holders aren't asked, so that one which is away for less than 20 s is back before that.
+# New holders aren't asked for this long, twice the longest interval at which nodes count each other
+# by answers that may be seconds old. A holder that is down for less than 20 s keeps its share.
 NEW_HOLDER_DELAY_MS = 40_000
-# What was counted for a shorter time is one of the counts after a start.
+# A view that lasted for less than this is one of the partial counts after a start.
 ESTABLISHED_VIEW_MS = 4500
-# A holder answers within 1 to 5 ms, on a busy VM within some ten; its request waits so long for it.
+# A holder answers within 1 to 5 ms, on a busy VM within about 10 ms.
 HOLDER_TIMEOUT_MS = 40
-# How what is tolerated beyond limits is given out: to requests that come early or in a burst, to a
-# holder that has just started and doesn't know what ran before, to nodes that hear no holder. They
-# add up to 1, so that no message has to come in time for the bound to hold.
+# Division of the tolerance: for requests that come early or in a burst, for holders that have just
+# started and don't know what ran before, and for nodes that reach no holder. The shares add up to
+# 1, so that the limit holds even if messages are late or lost.
 EARLY_SHARE = 0.4
 NEW_HOLDER_SHARE = 0.3
 NO_HOLDER_SHARE = 0.3
-# A subject that went beyond its limit is within it again when it owes this share of it.
+# A subject that exceeded its limit has recovered when its bucket is down to this part of capacity.
 RECOVERED_SHARE = 0.5
-# What was counted is known by its ask for so long: the longest time that callers wait.
+# Counted asks are kept for the longest time that callers wait.
 COUNTED_RETENTION_MS = 15_000
-# Asks of one subject known at most; 0.2 KB each. Of older ones nothing is given back.
+# Counted asks per subject, of 0.2 KB each; older ones can't be refunded.
 MAX_COUNTED_ASKS = 4096
 BUCKET_EXPIRY_INTERVAL_MS = 5000
-# Callers don't wait for longer than this, whatever they are told.
+# Callers don't wait for longer than this, whatever the answer says.
 MAX_RETRY_AFTER_MS = 30_000
