--- a/saffronworks/forwarding/quotas/__init__.py
+++ b/saffronworks/forwarding/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas of organisations over all nodes: who counts, who is admitted, what a node does alone."""
+"""Enforces the quotas of organisations over all nodes together."""
