--- a/saffronworks/forwarding/quotas/messages.py
+++ b/saffronworks/forwarding/quotas/messages.py
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class QuotaAsk:
-    """Entry to holder: may a request of this cost run within your share of the quota?
+    """Entry node to holder: requests admission within the holder's share of a quota.
 
-    `per_s` and `burst` are the whole quota as the entry node knows it, for a holder that doesn't
-    know the organisation yet; `holders` is how many share it.
+    `per_s` and `burst` are the whole quota as the entry node has it, for a holder that lacks the
+    organisation's configuration; `holders` is the number of shares.
     """
 
     ask_id: str
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class QuotaAnswer:
-    """Holder to entry: it was counted and may run, or there is room after `retry_after_ms`."""
+    """Holder to entry node: admitted and counted, or room expected in `retry_after_ms`."""
 
     ask_id: str
     admitted: bool
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class QuotaRunAgain:
-    """Entry to holder: a request that was admitted is run once more, and counts once more."""
+    """Entry node to holder: an admitted request runs once more and is charged again."""
 
     ask_id: str
     organisation: str
@@ -43,12 +43,12 @@
 
 @attrs.frozen
 class QuotaGivenBack:
-    """Entry to holder: a request that it admitted was not run."""
+    """Entry node to holder: an admitted request did not run."""
 
     ask_id: str
     organisation: str
     holders: int
 
 
-# What nodes tell each other, as entry nodes and as holders.
+# Messages that a node receives as an entry node or a holder.
 PEER_MESSAGES = (QuotaAsk, QuotaAnswer, QuotaRunAgain, QuotaGivenBack)
