--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -48,7 +48,7 @@
         self._now_ms = now_ms
         self._limit_of = limit_of
         self._send_message = send_message
-        self._note_change = on_change
+        self._on_change = on_change
         choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
         # Holding shares costs little, so all nodes do; few subjects then lose all three holders.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
@@ -77,17 +77,17 @@
         ask_id = f"{self._incarnation}-{next(self._numbers):x}"
         return Ask(ask_id, subject, cost, limit, self.entry.ring.shares(self._now_ms()))
 
-    async def acquire(self, ask: Ask, note_silent: Callable[[str], None]) -> entry.Command:
+    async def acquire(self, ask: Ask, on_timeout: Callable[[str], None]) -> entry.Command:
         """Ask the holders; return `Admitted`, `Refused` or `Unknown`.
 
-        `note_silent` is called with each holder that does not answer.
+        `on_timeout` is called with each holder that does not answer.
         """
         query = HolderQuery(ask)
         command = entry.step(self.entry, query, QueryStarted(), self._now_ms())
         while isinstance(command, AskHolder):
             event = await self._ask(command.holder, ask)
             if isinstance(event, entry.HolderTimedOut):
-                note_silent(command.holder)
+                on_timeout(command.holder)
             command = entry.step(self.entry, query, event, self._now_ms())
         return command
 
@@ -142,5 +142,5 @@
                 case Answer():
                     answer = reply
                 case ShareChanged():
-                    self._note_change(reply)
+                    self._on_change(reply)
         return answer
