--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -183,7 +183,7 @@
             return NoPermit(backoff_ms)
         ask = self.shared_limit.make_ask(instance, calls, Limit(per_s, 0.0))
         command = await self.shared_limit.acquire(
-            ask, lambda node: _log_silent(request_id, ask, node)
+            ask, lambda node: _log_timeout(request_id, ask, node)
         )
         if isinstance(command, Admitted):
             self._backoff.record_permit(instance)
@@ -239,8 +239,8 @@
             case LimitsWanted(reply_to):
                 self._send_limits((reply_to,), self._table.limited()[:MAX_LIMITS_PER_MESSAGE])
 
-    def _send(self, node: str, told: ShareMessage) -> None:
-        match told:
+    def _send(self, node: str, message: ShareMessage) -> None:
+        match message:
             case Ask(ask_id, subject, calls, Limit(per_s), holders):
                 update = self._known_limit(StartId(subject)) or HeardLimit(
                     StartId(subject), per_s, 0
@@ -271,9 +271,9 @@
             await anyio.sleep(GOSSIP_INTERVAL_MS / 1000)
 
     def _send_limits(self, nodes: Iterable[str], instances: Iterable[StartId]) -> None:
-        update = [told for one in instances if (told := self._known_limit(one)) is not None]
-        for node in nodes if update else ():
-            self._post(node, LimitNews(tuple(update)))
+        updates = [known for one in instances if (known := self._known_limit(one)) is not None]
+        for node in nodes if updates else ():
+            self._post(node, LimitNews(tuple(updates)))
 
 
 def _log_change(change: ShareChanged) -> None:
@@ -286,7 +286,7 @@
     )
 
 
-def _log_silent(request_id: str, ask: Ask, node: str) -> None:
+def _log_timeout(request_id: str, ask: Ask, node: str) -> None:
     logger.info(
         "event=limit_holder_unanswered request=%s endpoint=%s holder=%s after_ms=%d",
         request_id,
