--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -91,7 +91,7 @@
             return NOT_COUNTED
         ask = self._make_ask(request, organisation.name, organisation.quota)
         command = await self.shared_limit.acquire(
-            ask, lambda node: _log_silent(request.request_id, ask, node)
+            ask, lambda node: _log_timeout(request.request_id, ask, node)
         )
         return self._charge(ask, command, request.request_id)
 
@@ -168,24 +168,24 @@
             case QuotaGivenBack(ask_id, organisation, holders):
                 self.shared_limit.apply(Refund(ask_id, organisation, holders))
 
-    def _send(self, node: str, told: ShareMessage) -> None:
+    def _send(self, node: str, message: ShareMessage) -> None:
         if self._kernel is not None:
-            self._kernel.post("peers", Outgoing(node, self._encode(told)))
+            self._kernel.post("peers", Outgoing(node, self._encode(message)))
 
     def _encode(
-        self, told: ShareMessage
+        self, message: ShareMessage
     ) -> QuotaAsk | QuotaAnswer | QuotaRunAgain | QuotaGivenBack:
-        match told:
+        match message:
             case Ask(ask_id, subject, cost, Limit(per_s, burst), holders):
                 return QuotaAsk(ask_id, self._own_address, subject, cost, per_s, burst, holders)
             case ChargeAgain(ask_id, subject, cost, holders):
                 return QuotaRunAgain(ask_id, subject, cost, holders)
             case Refund(ask_id, subject, holders):
                 return QuotaGivenBack(ask_id, subject, holders)
-        return QuotaAnswer(told.ask_id, told.admitted, told.retry_after_ms)
+        return QuotaAnswer(message.ask_id, message.admitted, message.retry_after_ms)
 
 
-def _log_silent(request_id: str, ask: Ask, node: str) -> None:
+def _log_timeout(request_id: str, ask: Ask, node: str) -> None:
     logger.info(
         "event=quota_holder_unanswered request=%s organisation=%s holder=%s after_ms=%d",
         request_id,
