--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -1,8 +1,8 @@
-"""Many nodes' knowledge of contents that end endpoints, on virtual time: no network, no clock.
+"""Simulates the quarantine on many nodes in virtual time, without network or clock.
 
-The pattern: one content comes again and again, at random nodes, under new ids; it ends each
-endpoint that begins to run it, and each try goes on at a second one. Delays and times are those of
-the fleets that were seen: 1 to 10 ms between nodes, an end 30 to 280 ms after the send.
+One content is requested again and again at random nodes under new ids. It crashes each endpoint
+that runs it, and each request is retried once at a second endpoint. Times are those of fleets in
+production: 1 to 10 ms between nodes, a crash 30 to 280 ms after the send.
 """
 
 import heapq
@@ -27,7 +27,7 @@
 __all__ = ["DEADLY", "Fleet", "endpoint_at", "fleet_that_knows"]
 
 DEADLY = ContentId("deadly")
-# Runs of one try that its route allows; a trial has one.
+# Runs that the route allows per request; a trial has one.
 MOST_RUNS = 2
 
 
@@ -37,14 +37,14 @@
 
 @attrs.define
 class Member:
-    """One node; one that is away (cut off, frozen) neither hears nor tells."""
+    """One node; while it is `away` (partitioned or frozen) it neither receives nor sends."""
 
     state: QuarantineState
     away: bool = False
 
 
 class Fleet:
-    """Nodes that play `core`; `sends` and `ends` are the times of the deadly content's."""
+    """Nodes that run `core`; `sends` and `ends` are times of the crashing content's."""
 
     def __init__(self, count, seed=1, lost=0.0, dead=0):
         self.rng = random.Random(seed)
@@ -65,7 +65,7 @@
         return Member(state)
 
     def at(self, after_ms, function, *arguments):
-        """Call a function later, on the play's own time."""
+        """Call a function later in virtual time."""
         item = (self.now_ms + after_ms, next(self._numbers), function, arguments)
         heapq.heappush(self._queue, item)
 
@@ -83,7 +83,7 @@
         self.at(GOSSIP_INTERVAL_MS, self._tick, name, state)
 
     def restart(self, name):
-        """It knows nothing, and reads what the store has."""
+        """Restart a node without state; it reads the store's records."""
         self.nodes[name] = self._member(name)
         for pause_s in RECORD_READ_DELAYS_S:
             self.at(int(pause_s * 1000), self._read, name)
@@ -117,10 +117,10 @@
         if target in self.nodes and not self.nodes[target].away:
             self.take(target, news)
 
-    # The deadly content.
+    # The crashing content.
 
     def ask(self, name=None):
-        """A try of it arrives at a node."""
+        """Let a request with the crashing content arrive at a node."""
         name = name or self.rng.choice(list(self.nodes))
         match self.nodes[name].state.admission(DEADLY, self.now_ms):
             case Admission.ALLOWED:
@@ -142,23 +142,23 @@
             self._run(name, runs_left)
 
     def come_again(self, every_ms, until_ms):
-        """Let it come at random nodes until then."""
+        """Let the content arrive at random nodes every `every_ms` until `until_ms`."""
         for at_ms in range(self.now_ms, until_ms, every_ms):
             self.at(at_ms - self.now_ms, self.ask)
 
     def late_sends(self, contact_ms):
-        """Sends later than that after the third end, by nodes that are not away."""
+        """Return the sends later than `contact_ms` after the third end."""
         from_ms = self.ends[2] + contact_ms
         return [sent for sent in self.sends if sent[0] > from_ms]
 
     def knowing(self):
-        """How many nodes would refuse it."""
+        """Return how many nodes would refuse the content."""
         judged = [n.state.table.admission(DEADLY, self.now_ms) for n in self.nodes.values()]
         return sum(admission is Admission.REFUSED for admission in judged)
 
 
 def fleet_that_knows(count=7, seed=3):
-    """A fleet that has quarantined the deadly content some seconds ago."""
+    """Return a fleet that quarantined the crashing content some seconds ago."""
     fleet = Fleet(count, seed)
     fleet.come_again(300, 4000)
     fleet.run(10_000)
