--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -1,9 +1,9 @@
-"""How many requests are wrongly quarantined since they ran beside a content that ends endpoints.
+"""Counts requests that are wrongly quarantined because they ran beside a crashing content.
 
-The pattern: busy endpoints, of which one content ends one after the other. Each end breaks all runs
-there; they go on at another endpoint, their callers return once, and meet the next end. Times are
-those of an incident: a run of 2.8 s, an end 30 to 280 ms after the send, 4 s until the endpoint is
-back, the content again every half second.
+One content crashes busy endpoints one after the other. Each crash breaks all runs there; they are
+retried at another endpoint, and their callers return once, so both may meet the next crash. Times
+are those of an incident: runs of 2.8 s, a crash 30 to 280 ms after the send, 4 s until the endpoint
+is back, the content again every half second.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 STEP_MS = 10
 RUN_MS = 2800
-# From an end to all nodes that know it: two looks, and word of it.
+# From a crash to its record at all nodes: two probes and the gossip.
 KNOWN_AFTER_MS = 400
 RETURNS_AFTER_MS = 1000
 PLAYED_MS = 12_000
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Habits:
-    """Runs that a try may have, how often the deadly content comes, how soon endpoints are back."""
+    """Runs per request, interval of the crashing content, and downtime of an endpoint."""
 
     most_runs: int = 2
     comes_every_ms: int = 500
@@ -36,14 +36,14 @@
 class _Run:
     content: str
     ends_ms: int
-    # Runs that are left in this try, and whether its caller returns once more.
+    # Runs left for this request, and whether its caller returns once more.
     runs_left: int
     returns: bool
 
 
 @attrs.frozen
 class Outcome:
-    """Counts of contents: those whose runs broke, those wrongly quarantined; and of ends."""
+    """Counts of innocent contents with broken runs and of quarantined ones, and of crashes."""
 
     struck: int
     struck_twice: int
@@ -111,7 +111,7 @@
 
 
 def play_service(endpoints, runs_each, seed, habits):
-    """Play a service until its deadly content is long quarantined; count what it did to others."""
+    """Simulate a service until its crashing content is quarantined, and return the counts."""
     service = _Service(endpoints, runs_each, seed, habits)
     for now_ms in range(0, PLAYED_MS, STEP_MS):
         service.step(now_ms)
