--- a/saffronworks/tests/crashing_servers.py
+++ b/saffronworks/tests/crashing_servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for servers whose process ends when it begins to run a given content."""
+"""Fake servers whose process crashes when it runs a given content."""
 
 import asyncio
 import time
@@ -9,40 +9,40 @@
 
 __all__ = ["DEADLY", "Arrivals", "CrashingServer"]
 
-# A body that holds this ends each server that runs it.
+# A body that contains this crashes each server that runs it.
 DEADLY = b"deadly"
-# From the first token of a run to the end of its server.
+# From the first token of a run to the crash.
 RUNS_S = 0.03
-# How long it is down before it starts again under its name.
+# Downtime before the server starts again under its name.
 DOWN_S = 0.3
 
 
 @attrs.define
 class Arrivals:
-    """What servers saw of deadly requests, in seconds: all sends to them, and their ends."""
+    """Times in seconds of crashing requests: when servers received them, and when they crashed."""
 
     sends_s: list = attrs.Factory(list)
     ends_s: list = attrs.Factory(list)
 
     def sends_after_third_end(self, wait_s):
-        """How many sends came later than `wait_s` after the third end."""
+        """Return how many sends came later than `wait_s` after the third crash."""
         from_s = self.ends_s[2] + wait_s
         return sum(sent_s > from_s for sent_s in self.sends_s)
 
 
 class CrashingServer(FakeServer):
-    """Closes all connections and refuses new ones from its end to its next start."""
+    """A fake server that closes all connections at a crash and refuses new ones until restarted."""
 
     def __init__(self, instance, service, stage, arrivals, down_s=DOWN_S):
         super().__init__(instance, service, stage)
         self.arrivals = arrivals
         self.down_s = down_s
         self.store = None
-        # Whether its caller gets the head of an answer and an event before its end.
+        # Whether the caller receives the head of an answer and one event before the crash.
         self.head_first = False
-        # Whether it has been mended, and bears all contents.
+        # Whether the server has been fixed and runs all contents.
         self.mended = False
-        # Whether it ends when it reads a deadly prompt, not only when it runs it.
+        # Whether a prefill of the content crashes the server as well.
         self.ends_reading = False
         self._writers = set()
         self._over = asyncio.Event()
@@ -62,7 +62,7 @@
             self.store.put("servers", self.instance, self.entry())
 
     def end(self):
-        """Its process ends, whatever it has in hand."""
+        """Crash at once, with all requests in progress."""
         self.arrivals.ends_s.append(time.monotonic())
         self._over.set()
 
