--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -1,6 +1,6 @@
-"""Many nodes on virtual time: messages, nodes that end, stand still or are cut off; no network.
+"""Simulates many nodes in virtual time: messages, crashes, freezes and partitions; no network.
 
-Messages take 1 to 10 ms, as between the fleets' VMs.
+Messages take 1 to 10 ms, as between VMs in production.
 """
 
 import copy
@@ -44,40 +44,40 @@
 
 
 class FleetShares:
-    """A bound over a fleet, as its nodes keep it: they ask holders, and are some.
+    """A shared limit on all nodes of a fleet, each both an entry node and a holder.
 
-    `limit_of(node, event)` is the limit of an event's subject as a node knows it.
+    `limit_of(node, event)` returns the limit of an event's subject as the node has it.
     """
 
     def __init__(self, fleet, tolerance, limit_of, stagger_retries=True):
         self._fleet = fleet
         self._tolerance = tolerance
         self._limit_of = limit_of
-        self._in_turn = stagger_retries
+        self._stagger_retries = stagger_retries
         self.nodes = {name: self._start(False) for name in fleet.names}
 
     def restart(self, name):
-        """It knows nothing any more."""
+        """Reset the state of a node."""
         self.nodes[name] = self._start(True)
 
     def _start(self, young):
         now_ms = self._fleet.now_ms
         choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS if young else 0)
         choice.cores = self._fleet.cores
-        # At the first start of all nothing ran before.
+        # When the whole fleet starts, no request ran before.
         began_ms = now_ms if young else -self._tolerance.window_ms
         allowances = Allowances(self._tolerance, len(self._fleet.names))
         entry_state = EntryState(choice, copy.deepcopy(self._fleet.ring), allowances)
-        return _Node(entry_state, HolderState(self._tolerance, began_ms, self._in_turn))
+        return _Node(entry_state, HolderState(self._tolerance, began_ms, self._stagger_retries))
 
     def lose(self, name, gone):
-        """A node has counted the others, and these are gone; new holders are there."""
+        """Let a node notice that the nodes in `gone` are missing, so that holders change."""
         now_ms, left = self._fleet.now_ms, [node for node in self._fleet.names if node not in gone]
         self.nodes[name].entry.ring.update(left, now_ms)
         self.nodes[name].holder_state.on_nodes_changed(now_ms)
 
     def ask(self, name, ask, settle):
-        """Have a node ask for leave; `settle(command)` is called with what came of it."""
+        """Let a node ask for admission; `settle(command)` is called with the outcome."""
         self._step(name, HolderQuery(ask), QueryStarted(), settle)
 
     def _step(self, name, query, event, settle):
@@ -110,14 +110,14 @@
         return next((reply for reply in replies if isinstance(reply, Answer)), None)
 
     def refund(self, name, ask, command):
-        """What was admitted was not run."""
+        """Refund an admitted ask that did not run."""
         if isinstance(command, Admitted) and command.holder is not None:
             back = Refund(ask.ask_id, ask.subject, ask.holders)
             self._fleet.send(name, command.holder, self._hold, command.holder, back)
 
 
 class VirtualFleet:
-    """Nodes, and what happens to them. `apart` holds groups that hear only their own members."""
+    """Nodes and their faults; `apart` maps nodes to partitions that can't reach each other."""
 
     def __init__(self, count, seed, dead=0):
         self.rng = random.Random(seed)
@@ -136,20 +136,20 @@
         self.live = list(self.names[:count])
         self.away.update(self.names[count:])
 
-    # What happens to nodes.
+    # Faults of nodes.
 
     def restart(self, name):
-        """A node is back and knows nothing."""
+        """Called when a node restarts without state."""
 
     def struck(self, names, for_ms):
-        """Hears of each trouble of some nodes."""
+        """Called for each fault with the nodes and its duration."""
 
     def holders(self, subject):
-        """The nodes among which its limit is shared out."""
+        """Return the holders of a subject's limit."""
         return self.ring.holders(subject)
 
     def kill(self, names, for_ms):
-        """They are gone for so long, and know nothing when they are back."""
+        """Stop nodes for `for_ms`; they restart without state."""
         self.struck(names, for_ms)
         self.away.update(names)
         self.at(for_ms, self._start_again, list(names))
@@ -160,20 +160,20 @@
             self.restart(name)
 
     def freeze(self, names, for_ms):
-        """They stand still for so long, and then go on with what they knew."""
+        """Freeze nodes for `for_ms`; they continue with their state."""
         self.struck(names, for_ms)
         self.away.update(names)
         self.at(for_ms, self.away.difference_update, list(names))
 
     def cut(self, groups, for_ms):
-        """Each group hears only its own members for so long."""
+        """Partition the fleet for `for_ms`: each group reaches only its own members."""
         for number, names in enumerate(groups, start=1):
             self.struck(names, for_ms)
             self.apart.update(dict.fromkeys(names, number))
         self.at(for_ms, self.apart.clear)
 
     def strike(self, subject, kind, names, for_ms):
-        """One of the troubles of `STRIKES`, of these nodes or of a subject's holders."""
+        """Inject one of the faults in `STRIKES` into these nodes or a subject's holders."""
         match kind:
             case "kill":
                 self.kill(names, for_ms)
@@ -187,7 +187,10 @@
                 self.cut([[name] for name in names], for_ms)
 
     def lose_holders(self, subject, count, within_ms, away_ms=None):
-        """So many of its holders leave, or are away; each node counts that at times of its own."""
+        """Let `count` holders of a subject leave, for `away_ms` if given.
+
+        Each node notices at a random time within `within_ms`.
+        """
         gone = self.holders(subject)[:count]
         for name in self.names:
             self.at(self.rng.randrange(within_ms), self.shares.lose, name, gone)
@@ -203,16 +206,16 @@
     # Time and messages.
 
     def number(self):
-        """A number that no other one has."""
+        """Return a unique number."""
         return next(self._numbers)
 
     def at(self, after_ms, function, *arguments):
-        """Call a function later, on the play's own time."""
+        """Call a function later in virtual time."""
         item = (self.now_ms + after_ms, self.number(), function, arguments)
         heapq.heappush(self._queue, item)
 
     def send(self, source, target, function, *arguments):
-        """Call a function at another node, if the message gets there."""
+        """Send a message: call a function at another node unless a fault prevents delivery."""
         self.messages += 1
         if source != target and not self._hears(source, target):
             return
@@ -224,7 +227,7 @@
             function(*arguments)
 
     def run(self, until_ms):
-        """Let time pass until then."""
+        """Advance virtual time to `until_ms`."""
         while self._queue and self._queue[0][0] <= until_ms:
             self.now_ms, _, function, arguments = heapq.heappop(self._queue)
             function(*arguments)
