--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -1,9 +1,9 @@
-"""Limits that an endpoint names, over many nodes on virtual time: no network, no clock.
+"""Simulates the rate limit of one endpoint on many nodes in virtual time, without network or clock.
 
-The pattern: an endpoint that takes 1 or a few requests a second from all nodes together, and
-callers at all nodes, or at few, who would send it twenty; it answers after 30 to 120 ms. What is
-counted is what its operator counts: requests in any 4 s, from 3 s after it first named the limit,
-of nodes that had passed such an answer on half a second before, without those in trouble.
+The endpoint takes 1 or a few requests per second from all nodes together and answers after 30 to
+120 ms. Callers at all nodes, or at a few, send twenty per second. Counted are requests in any 4 s,
+as the endpoint's operator does: from 3 s after the limit was first advertised, by nodes that
+relayed such an answer at least half a second before, except nodes with a fault.
 """
 
 import attrs
@@ -28,14 +28,14 @@
 
 ENDPOINT = "e0"
 CONTACT_MS, TOLD_MS = 3000, 500
-# For so long after a trouble a node's sends aren't counted.
+# After a fault, the sends of a node aren't counted for this long.
 EXCUSED_MS = 3000
 REQUESTS_PER_S = 20.0
 
 
 @attrs.define
 class _Node:
-    """What one node knows, and when it passed the first answer with a limit on."""
+    """The state of one node, and when it relayed the first answer with a limit."""
 
     neighbours: Neighbours
     backoff: LimitBackoff
@@ -52,7 +52,7 @@
 
 
 class LimitFleet(VirtualFleet):
-    """Nodes whose callers all want one endpoint, which names `per_s`, or None for no limit."""
+    """Nodes whose callers all use one endpoint, which advertises `per_s`, or None for no limit."""
 
     def __init__(self, count, per_s, seed, busy_nodes=None, dead=0):
         super().__init__(count, seed, dead)
@@ -92,7 +92,7 @@
         named = asked if known is None else min(known, asked)
         return Limit(max(MIN_PER_S, named), 0.0)
 
-    # What nodes tell each other.
+    # Gossip between nodes.
 
     def _learn(self, name):
         self.nodes[name].pending.add(ENDPOINT)
@@ -113,7 +113,7 @@
     # Requests.
 
     def play(self, for_ms, requests_per_s=REQUESTS_PER_S):
-        """Let requests come at busy nodes by chance."""
+        """Let requests arrive at random busy nodes."""
         until_ms = self.now_ms + for_ms
         self._next(until_ms, requests_per_s)
         self.run(until_ms)
@@ -172,10 +172,10 @@
             node.told_ms = node.told_ms or self.now_ms
             self.first_named_ms = self.first_named_ms or self.now_ms
 
-    # What came of it.
+    # Results.
 
     def worst_window(self, of_all=False):
-        """The most that reached the endpoint in a window, as a share of what it tolerates."""
+        """Return the most requests in a window, as a fraction of what the endpoint tolerates."""
         from_ms = self.first_named_ms + CONTACT_MS
         counted = [a.at_ms for a in self.arrivals if a.at_ms >= from_ms and (a.told or of_all)]
         window_ms = LIMIT_TOLERANCE.window_ms
@@ -185,11 +185,11 @@
         )
 
     def served_share(self, from_ms, until_ms):
-        """Requests that reached it, as a share of those that it takes."""
+        """Return the requests that reached the endpoint, as a fraction of its limit."""
         reached = sum(from_ms <= arrival.at_ms < until_ms for arrival in self.arrivals)
         return reached / (self.per_s * (until_ms - from_ms) / 1000)
 
     def knowing(self):
-        """The share of live nodes that know the newest word of the endpoint."""
+        """Return the fraction of live nodes that have the endpoint's newest limit."""
         know = [self.nodes[name].table.find(ENDPOINT) == self.per_s for name in self.live]
         return sum(know) / len(know)
