--- a/saffronworks/tests/quota_plays.py
+++ b/saffronworks/tests/quota_plays.py
@@ -1,8 +1,9 @@
-"""Quotas of organisations over many nodes, on virtual time: no network, no clock.
+"""Simulates the quotas of organisations on many nodes in virtual time, without network or clock.
 
-The pattern: 16 organisations of which a few are large, 124 requests a second at 60 nodes by chance,
-one generation to seven plain requests of 200 tokens; a generation counts 14,000, its prompt and the
-most of its answer. One organisation asks for 7.5 times its usual while its limit is 1.8 times that.
+16 organisations, a few of them large, send 124 requests per second at 60 random nodes: one
+generation to seven plain requests of 200 tokens. A generation costs 14,000 tokens, its prompt and
+the maximum of its answer. One organisation sends 7.5 times its usual rate, while its limit is 1.8
+times that rate.
 """
 
 from collections import defaultdict
@@ -24,7 +25,7 @@
 
 
 def usual_organisations(requests_per_s, count=16):
-    """Their requests a second, the largest first; the shares fall as one over the rank."""
+    """Return requests per second by organisation, falling as one over the rank."""
     weights = [1 / rank for rank in range(1, count + 1)]
     return {f"org{i}": requests_per_s * w / sum(weights) for i, w in enumerate(weights)}
 
@@ -48,9 +49,9 @@
 
 @attrs.define
 class Outcome:
-    """What became of requests: tokens that ran by organisation, and those that are owed.
+    """Results: tokens that ran by organisation, and tokens that were due within the quota.
 
-    `refused_within` counts refusals of organisations that never asked for more than their quota.
+    `refused_within` counts refusals of organisations that never exceeded their quota.
     """
 
     ran: dict = attrs.Factory(lambda: defaultdict(list))
@@ -62,11 +63,11 @@
     waits_ms: list = attrs.Factory(list)
 
     def served_share(self, organisation):
-        """Tokens that ran, as a share of those that are owed."""
+        """Return the tokens that ran, as a fraction of those that were due."""
         return sum(cost for _, cost in self.ran[organisation]) / self.owed[organisation]
 
     def worst_window(self, limits):
-        """The most that ran of an organisation in a window, as a share of what may."""
+        """Return the most tokens of an organisation in a window, as a fraction of what may run."""
         return max(
             (self._most(runs) / self._may(limits[name]) for name, runs in self.ran.items()),
             default=0.0,
@@ -88,7 +89,7 @@
 
 
 class _Ideal:
-    """What is owed: the quota's own bucket, which sees all requests at once."""
+    """The reference: one leaky bucket per organisation that sees all requests."""
 
     def __init__(self):
         self._debts = defaultdict(lambda: (0.0, 0))
@@ -102,7 +103,7 @@
 
 
 class QuotaFleet(VirtualFleet):
-    """Nodes that get requests by chance."""
+    """Nodes that receive requests at random."""
 
     def __init__(self, count=60, requests_per_s=124.0, seed=1, dead=0):
         super().__init__(count, seed, dead)
@@ -121,7 +122,7 @@
     # Requests.
 
     def play(self, for_ms):
-        """Let requests come at live nodes by chance until then."""
+        """Let requests arrive at random live nodes for `for_ms`, and return the results."""
         until_ms = self.now_ms + for_ms
         for name in self.usual:
             self._next(name, until_ms)
