--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -1,7 +1,7 @@
-"""Plays on the deciding cores in which endpoints, limits, time and bars change at every step.
+"""Runs the deciding cores while endpoints, limits, time and bars change at every step.
 
-Each returns the command that ended the request and the sends that the endpoint may have run: those
-of which it did not state the contrary.
+Each function returns the command that ended the request, and the number of sends that an endpoint
+may have run: those that it did not state as not executed.
 """
 
 import attrs
@@ -42,9 +42,9 @@
     misdirected=st.booleans(),
     asks_pause=st.booleans(),
 )
-# What a send comes to: an answer, or how it broke.
+# The result of a send: an answer, or how the exchange broke.
 REPLIES = HEADS | st.sampled_from(("unsent", "withheld", "broken", "silent"))
-# Most turns let the request go on, so that plays reach the rare ways of ending behind a send.
+# Most turns let the request continue, so that runs reach the rare endings after a send.
 BARS = st.sampled_from((None, ENDS_ENDPOINTS, Refuse(503, "barred", not_run=True)))
 PASSED_MS = st.sampled_from((0, 1, 10, 20, 40, 40, 40, 400, 2000, 9000))
 MOSTLY = st.sampled_from((True, True, True, False))
@@ -63,12 +63,12 @@
 
 @attrs.frozen
 class Turn:
-    """What is so at one step; a play reads of it what its command asks for."""
+    """The conditions at one step; a command uses those that concern it."""
 
     reply: object
     passed_ms: int
     eligibility: Eligibility
-    # Whether limits, reservations, readers and the planner say yes; whether a relay breaks.
+    # Whether permits, reservations, prefills and plans are granted; whether a relay breaks.
     granted: bool
     breaks: bool
     known: bool
@@ -77,7 +77,7 @@
 
 @attrs.define
 class Turns:
-    """The turns of one play; the last one goes on."""
+    """The turns of one run; the last one repeats."""
 
     all: list[Turn]
     bar: Refuse | None
@@ -101,7 +101,7 @@
         st.booleans(),
         st.sampled_from((3, 3, 3, 3, 3, 0)),
     )
-    # A bar holds from one of the turns on.
+    # The bar applies from one of the turns on.
     return st.builds(Turns, st.lists(turn, min_size=4, max_size=16), BARS, st.integers(0, 12))
 
 
@@ -111,14 +111,14 @@
 
 @attrs.frozen
 class End:
-    """`may_have_run`: sends of which the endpoint did not state that it did not run them."""
+    """How a request ended; `may_have_run` counts sends that no endpoint stated as not executed."""
 
     command: object
     may_have_run: int
 
     @property
     def status(self):
-        """The status that the caller is told, None where its connection is closed."""
+        """The status that the caller receives, None if its connection is closed."""
         return getattr(self.command, "status", None)
 
 
@@ -129,7 +129,7 @@
 
 
 def narrow_budget():
-    """For a few extra sends, so that a play may use it up."""
+    """Return a budget for a few extra sends, so that a run may exhaust it."""
     return RetryBudget(0.0, 5.0, 100_000)
 
 
@@ -189,7 +189,7 @@
             case gen.AskPlanner() | gen.AskHold() | gen.ReadPrompt():
                 event = _place_event(command, turn, now_ms)
             case _:
-                # Once an answer began, its status is what the caller was told.
+                # Once an answer has begun, the caller has received its status.
                 return End(told or command, ran)
         if event is None:
             return End(told, ran)
@@ -197,7 +197,7 @@
 
 
 def _relay_event(state, turn):
-    """None where the answer is whole."""
+    """Return how a relay ended; None if the answer is complete."""
     return gen.RelayBroken(state.hold.endpoint.instance, turn.known) if turn.breaks else None
 
 
