--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -11,7 +11,7 @@
 import attrs
 
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable, is_quarantined
-from saffronworks.tests.quarantine_plays import DEADLY, endpoint_at
+from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at
 
 __all__ = ["Habits", "Outcome", "play_service"]
 
@@ -71,7 +71,7 @@
 
     def send(self, content, now_ms, runs_left=None, returns=True):
         runs_left = runs_left or self.habits.most_runs
-        takes_ms = self.rng.randint(30, 280) if content == DEADLY else RUN_MS
+        takes_ms = self.rng.randint(30, 280) if content == CRASHING else RUN_MS
         self.place(_Run(content, now_ms + takes_ms, runs_left - 1, returns), now_ms)
 
     def end(self, index, now_ms):
@@ -97,12 +97,12 @@
             self.send(content, now_ms, returns=False)
         self.back = [b for b in self.back if b[0] > now_ms]
         if now_ms % self.habits.comes_every_ms == 0 and now_ms >= RUN_MS:
-            self.send(DEADLY, now_ms)
+            self.send(CRASHING, now_ms)
         while self.rng.random() < self.arrivals - (self.number - self.arrivals * now_ms / STEP_MS):
             self.number += 1
             self.send(f"c{self.number}", now_ms)
         for index, runs in enumerate(self.runs):
-            if any(run.content == DEADLY and run.ends_ms <= now_ms for run in runs):
+            if any(run.content == CRASHING and run.ends_ms <= now_ms for run in runs):
                 self.end(index, now_ms)
                 continue
             for run in [run for run in runs if run.ends_ms <= now_ms]:
@@ -115,7 +115,7 @@
     service = _Service(endpoints, runs_each, seed, habits)
     for now_ms in range(0, PLAYED_MS, STEP_MS):
         service.step(now_ms)
-    others = {content: count for content, count in service.struck.items() if content != DEADLY}
+    others = {content: count for content, count in service.struck.items() if content != CRASHING}
     known = [service.table.find(content) for content in others]
     return Outcome(
         struck=len(others),
--- a/saffronworks/tests/crashing_servers.py
+++ b/saffronworks/tests/crashing_servers.py
@@ -7,10 +7,10 @@
 
 from saffronworks.tests.platform_fakes import FakeServer
 
-__all__ = ["DEADLY", "Arrivals", "CrashingServer"]
+__all__ = ["CRASHING", "Arrivals", "CrashingServer"]
 
 # A body that contains this crashes each server that runs it.
-DEADLY = b"deadly"
+CRASHING = b"deadly"
 # From the first token of a run to the crash.
 RUNS_S = 0.03
 # Downtime before the server starts again under its name.
@@ -74,7 +74,7 @@
             self._writers.discard(writer)
 
     async def _request(self, reader, writer, headers):
-        if self.mended or DEADLY not in self.seen[-1][3]:
+        if self.mended or CRASHING not in self.seen[-1][3]:
             return await super()._request(reader, writer, headers)
         self.arrivals.sends_s.append(time.monotonic())
         if headers.get("stage") == "prefill" and not self.ends_reading:
--- a/saffronworks/tests/features/steps/quarantine_steps.py
+++ b/saffronworks/tests/features/steps/quarantine_steps.py
@@ -12,7 +12,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     TRIAL_AFTER_MS,
 )
-from saffronworks.tests.crashing_servers import DEADLY, Arrivals, CrashingServer
+from saffronworks.tests.crashing_servers import CRASHING, Arrivals, CrashingServer
 from saffronworks.tests.platform_fakes import FakeServer
 from saffronworks.tests.platform_place import engines, on_platform
 from saffronworks.tests.revisions import at
@@ -48,7 +48,7 @@
         while len(arrivals.ends_s) < 3 or time.monotonic() < arrivals.ends_s[2] + ASKED_FOR_S:
             number += 1
             node, asked_s = place.nodes[number % 2], time.monotonic()
-            raw = await place.generate("/res/", f"g{number}", body=DEADLY, node=node)
+            raw = await place.generate("/res/", f"g{number}", body=CRASHING, node=node)
             if len(arrivals.ends_s) > 2 and asked_s > arrivals.ends_s[2] + CONTACT_S:
                 context.late.append((time.monotonic() - asked_s, raw))
             await anyio.sleep(PAUSE_S)
@@ -89,11 +89,11 @@
     async def play(place):
         join_store(servers, place.store)
         for number in range(4):
-            await place.ask("/again/a", f"r{number}", body=DEADLY)
+            await place.ask("/again/a", f"r{number}", body=CRASHING)
             await anyio.sleep(0.5)
         context.before = len(arrivals.sends_s)
         context.refused = [
-            await place.ask("/again/a", f"late-{number}", body=DEADLY) for number in range(5)
+            await place.ask("/again/a", f"late-{number}", body=CRASHING) for number in range(5)
         ]
         context.served = await place.ask("/again/a", "other", body=b"harmless")
 
@@ -120,7 +120,7 @@
         join_store(servers, place.store)
         # Without the size of its prompt a request gets no memory, and goes the way of plain ones.
         for number in range(9):
-            raw = await place.ask("/gen/", f"r{number}", body=DEADLY)
+            raw = await place.ask("/gen/", f"r{number}", body=CRASHING)
             await anyio.sleep(0.4)
         context.raw = raw
 
@@ -143,7 +143,7 @@
     async def play(place):
         join_store(readers, place.store)
         for number in range(6):
-            raw = await place.generate("/res/", f"r{number}", body=DEADLY)
+            raw = await place.generate("/res/", f"r{number}", body=CRASHING)
             await anyio.sleep(0.4)
         context.raw = raw
 
@@ -189,7 +189,7 @@
     async def first_life(place):
         join_store(servers, place.store)
         for number in range(MOST_TRIES):
-            await place.generate("/res/", f"g{number}", body=DEADLY)
+            await place.generate("/res/", f"g{number}", body=CRASHING)
             await anyio.sleep(PAUSE_S)
             if any(kind == QUARANTINE_KIND for kind, _ in place.store.objects):
                 break
@@ -210,7 +210,7 @@
         # The records are read again a few seconds after a start.
         await anyio.sleep(4.5)
         context.raw = [
-            await place.generate("/res/", f"h{number}", body=DEADLY, node=node)
+            await place.generate("/res/", f"h{number}", body=CRASHING, node=node)
             for number, node in enumerate(place.nodes)
         ]
 
@@ -244,7 +244,7 @@
 
         async def ask(request_id):
             counts = {"Token-Counts": "5000,9000", "Length-Hint": "3000"}
-            raw = await place.ask(path, request_id, counts, DEADLY)
+            raw = await place.ask(path, request_id, counts, CRASHING)
             # Long enough for an end to be shown.
             await anyio.sleep(0.5)
             return raw
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.role_keeper import _read_duty
 from saffronworks.tests.endpoint_plays import endpoints
-from saffronworks.tests.quarantine_plays import DEADLY, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, fleet_that_knows
 from saffronworks.tests.revisions import at
 
 # When a store is restored, on virtual time.
@@ -132,9 +132,9 @@
     for name in fleet.names:
         fleet.take(name, events.RecordsLost())
     assert fleet.stored.keys() == copy.keys()
-    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
+    fleet.take(fleet.names[0], events.RunSucceeded(CRASHING))
     fleet.run(fleet.now_ms + 5000)
     fleet.stored |= copy
     for name in fleet.names:
         fleet.take(name, events.RecordsLost())
-    assert DEADLY not in fleet.stored
+    assert CRASHING not in fleet.stored
--- a/saffronworks/tests/features/steps/suspicion_fleet_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_fleet_steps.py
@@ -6,7 +6,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
 )
-from saffronworks.tests.quarantine_plays import DEADLY, Fleet, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, Fleet, fleet_that_knows
 
 SEEDS = range(10)
 CONTACT_MS = 3000
@@ -70,7 +70,7 @@
         fleet.nodes[other].away = True
     fleet.restart(name)
     fleet.run(fleet.now_ms + CONTACT_MS)
-    assert fleet.nodes[name].state.admission(DEADLY, fleet.now_ms) is Admission.REFUSED
+    assert fleet.nodes[name].state.admission(CRASHING, fleet.now_ms) is Admission.REFUSED
 
 
 @then("so do all nodes when all have started again")
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -48,7 +48,7 @@
 from saffronworks.tests.concurrent_runs import Habits, play_service
 from saffronworks.tests.endpoint_plays import REPLY_KINDS, endpoints, head_of, wide_budget
 from saffronworks.tests.generation_plays import POOLS, generation
-from saffronworks.tests.quarantine_plays import DEADLY, endpoint_at, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at, fleet_that_knows
 from saffronworks.wire import Codec
 
 SEEDS = range(10)
@@ -62,7 +62,7 @@
     state = QuarantineState("n1", random.Random(1))
     state.update_nodes(["n1", "n2"])
     assert state.idle and not step(state, events.Tick(), 10_000)
-    assert not step(state, events.RunSucceeded(DEADLY), 1000) and state.idle
+    assert not step(state, events.RunSucceeded(CRASHING), 1000) and state.idle
 
 
 @then("a fleet that knows of a content tells it five times a second and node at most")
@@ -103,7 +103,7 @@
     )
 
 
-def broke(content=DEADLY, number=1, cause=BreakCause.CLOSED, **changes):
+def broke(content=CRASHING, number=1, cause=BreakCause.CLOSED, **changes):
     return events.RunFailed(content, endpoint_at(number), cause, **changes)
 
 
@@ -144,7 +144,7 @@
             )
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
-        assert (state.table.find(DEADLY) is not None) is shows, found
+        assert (state.table.find(CRASHING) is not None) is shows, found
         assert not state.probes
     for cause in (BreakCause.CONNECT, BreakCause.NOT_HTTP, BreakCause.OUT_OF_ORDER):
         assert not step(alone(), broke(cause=cause), 0), cause
@@ -201,15 +201,15 @@
 @then("a good run clears a content for all nodes, before it is quarantined and after")
 def good_run(context):
     early = alone()
-    ended(early, DEADLY, 1, 2)
-    step(early, events.RunSucceeded(DEADLY), 10)
-    ended(early, DEADLY, 3, 4)
-    assert early.admission(DEADLY, 20) is Admission.ALLOWED
+    ended(early, CRASHING, 1, 2)
+    step(early, events.RunSucceeded(CRASHING), 10)
+    ended(early, CRASHING, 3, 4)
+    assert early.admission(CRASHING, 20) is Admission.ALLOWED
     fleet = fleet_that_knows()
-    assert fleet.knowing() == 7 and DEADLY in fleet.stored
-    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
+    assert fleet.knowing() == 7 and CRASHING in fleet.stored
+    fleet.take(fleet.names[0], events.RunSucceeded(CRASHING))
     fleet.run(fleet.now_ms + CONTACT_MS)
-    assert fleet.knowing() == 0 and DEADLY not in fleet.stored
+    assert fleet.knowing() == 0 and CRASHING not in fleet.stored
 
 
 @then("an answer that ends by a close is no good run, as an endpoint's end closes too")
@@ -230,7 +230,7 @@
     fleet = fleet_that_knows()
     missed = fleet.names[5]
     fleet.nodes[missed].away = True
-    fleet.take(fleet.names[0], events.RunSucceeded(DEADLY))
+    fleet.take(fleet.names[0], events.RunSucceeded(CRASHING))
     fleet.run(fleet.now_ms + 30_000)
     assert fleet.knowing() == 1
     fleet.nodes[missed].away = False
@@ -256,7 +256,7 @@
         assert 100 * wrongly <= most_of_100 * struck, (habits, count, runs_each, struck, wrongly)
     state = alone()
     state.update_nodes(["n1"])
-    for content in ("beside", DEADLY):
+    for content in ("beside", CRASHING):
         ended(state, content, 1, 2, 3)
     assert state.admission("beside", EARLY_TRIAL_AFTER_MS - 1) is Admission.REFUSED
     assert state.admission("beside", EARLY_TRIAL_AFTER_MS) is Admission.TRIAL
@@ -267,7 +267,7 @@
     fleet = fleet_that_knows()
     fleet.run(TRIAL_AFTER_MS + 10_000)
     ends = len(fleet.ends)
-    admissions = [node.state.admission(DEADLY, fleet.now_ms) for node in fleet.nodes.values()]
+    admissions = [node.state.admission(CRASHING, fleet.now_ms) for node in fleet.nodes.values()]
     assert sorted(v.value for v in admissions) == ["refused"] * 4 + ["trial"] * 3, admissions
     fleet.come_again(100, fleet.now_ms + 5000)
     fleet.run(fleet.now_ms + 10_000)
@@ -276,7 +276,7 @@
 
 
 def old_view(age_ms):
-    return Suspicion(DEADLY, ("e1@1", "e2@2", "e3@3", "e4@4"), trials=1, age_ms=age_ms)
+    return Suspicion(CRASHING, ("e1@1", "e2@2", "e3@3", "e4@4"), trials=1, age_ms=age_ms)
 
 
 @then("while endpoints end for a cause of their own, contents have a trial every ten minutes")
@@ -286,12 +286,12 @@
     contents = [f"c{number}" for number in range(60)]
     for content in contents:
         ended(state, content, *rng.sample(range(1, 13), 3))
-    ended(state, DEADLY, 1, 2, 50)
+    ended(state, CRASHING, 1, 2, 50)
     now_ms = EARLY_TRIAL_AFTER_MS
     for _ in range(3):
         admissions = {state.admission(content, now_ms) for content in contents}
         assert admissions == {Admission.TRIAL}, admissions
-        assert state.admission(DEADLY, now_ms) is Admission.REFUSED
+        assert state.admission(CRASHING, now_ms) is Admission.REFUSED
         for content in contents:
             step(state, events.TrialStarted(content), now_ms)
             ended(state, content, rng.randint(1, 12), now_ms=now_ms)
@@ -301,32 +301,32 @@
         assert admissions == {Admission.REFUSED}, admissions
         now_ms += TRIAL_AFTER_MS
         # Had its own trial meanwhile, and ended one more.
-        if state.admission(DEADLY, now_ms) is Admission.TRIAL:
-            step(state, events.TrialStarted(DEADLY), now_ms)
-            ended(state, DEADLY, 51, now_ms=now_ms)
+        if state.admission(CRASHING, now_ms) is Admission.TRIAL:
+            step(state, events.TrialStarted(CRASHING), now_ms)
+            ended(state, CRASHING, 51, now_ms=now_ms)
 
 
 @then("a good run frees it, and another end settles it")
 def after_trial(context):
     for node in context.fleet.nodes.values():
-        assert node.state.admission(DEADLY, DAY_MS - 60_000) is Admission.REFUSED
+        assert node.state.admission(CRASHING, DAY_MS - 60_000) is Admission.REFUSED
         step(node.state, events.Tick(), 2 * DAY_MS)
         assert node.state.idle, "what callers have long given up is forgotten"
     told = alone()
     step(told, SuspicionNews("n2", (old_view(DAY_MS),)), 10)
     assert told.idle, "nor does it come back by a node that has not forgotten it yet"
     step(told, SuspicionNews("n2", (old_view(DAY_MS - 60_000),)), 10)
-    assert told.admission(DEADLY, 50_000) is Admission.REFUSED
+    assert told.admission(CRASHING, 50_000) is Admission.REFUSED
     step(told, events.Tick(), 70_000)
     assert told.idle, "who hears of it counts on from there"
     freed = alone()
     freed.update_nodes(["n1"])
-    ended(freed, DEADLY, 1, 2, 3)
-    assert freed.admission(DEADLY, TRIAL_AFTER_MS) is Admission.TRIAL
-    step(freed, events.TrialStarted(DEADLY), TRIAL_AFTER_MS)
-    assert freed.admission(DEADLY, TRIAL_AFTER_MS + 1) is Admission.REFUSED
-    step(freed, events.RunSucceeded(DEADLY), TRIAL_AFTER_MS + 2)
-    assert freed.admission(DEADLY, TRIAL_AFTER_MS + 3) is Admission.ALLOWED
+    ended(freed, CRASHING, 1, 2, 3)
+    assert freed.admission(CRASHING, TRIAL_AFTER_MS) is Admission.TRIAL
+    step(freed, events.TrialStarted(CRASHING), TRIAL_AFTER_MS)
+    assert freed.admission(CRASHING, TRIAL_AFTER_MS + 1) is Admission.REFUSED
+    step(freed, events.RunSucceeded(CRASHING), TRIAL_AFTER_MS + 2)
+    assert freed.admission(CRASHING, TRIAL_AFTER_MS + 3) is Admission.ALLOWED
 
 
 VIEWS = st.builds(
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -24,9 +24,9 @@
     RECORD_READ_DELAYS_S,
 )
 
-__all__ = ["DEADLY", "Fleet", "endpoint_at", "fleet_that_knows"]
+__all__ = ["CRASHING", "Fleet", "endpoint_at", "fleet_that_knows"]
 
-DEADLY = ContentId("deadly")
+CRASHING = ContentId("deadly")
 # Runs that the route allows per request; a trial has one.
 MOST_RUNS = 2
 
@@ -122,11 +122,11 @@
     def ask(self, name=None):
         """Let a request with the crashing content arrive at a node."""
         name = name or self.rng.choice(list(self.nodes))
-        match self.nodes[name].state.admission(DEADLY, self.now_ms):
+        match self.nodes[name].state.admission(CRASHING, self.now_ms):
             case Admission.ALLOWED:
                 self._run(name, MOST_RUNS)
             case Admission.TRIAL:
-                self.take(name, events.TrialStarted(DEADLY))
+                self.take(name, events.TrialStarted(CRASHING))
                 self._run(name, 1)
 
     def _run(self, name, runs_left):
@@ -136,8 +136,8 @@
     def _end(self, name, runs_left):
         self.ends.append(self.now_ms)
         endpoint = endpoint_at(next(self._endpoints))
-        self.take(name, events.RunFailed(DEADLY, endpoint, BreakCause.CLOSED))
-        admission = self.nodes[name].state.table.admission(DEADLY, self.now_ms)
+        self.take(name, events.RunFailed(CRASHING, endpoint, BreakCause.CLOSED))
+        admission = self.nodes[name].state.table.admission(CRASHING, self.now_ms)
         if runs_left and admission is Admission.ALLOWED:
             self._run(name, runs_left)
 
@@ -153,7 +153,7 @@
 
     def knowing(self):
         """Return how many nodes would refuse the content."""
-        judged = [n.state.table.admission(DEADLY, self.now_ms) for n in self.nodes.values()]
+        judged = [n.state.table.admission(CRASHING, self.now_ms) for n in self.nodes.values()]
         return sum(admission is Admission.REFUSED for admission in judged)
 
 
--- a/saffronworks/tests/soak/callers.py
+++ b/saffronworks/tests/soak/callers.py
@@ -5,7 +5,7 @@
 import anyio
 import httpcore
 
-from saffronworks.tests.crashing_servers import DEADLY
+from saffronworks.tests.crashing_servers import CRASHING
 from saffronworks.tests.soak.records import Asked
 
 __all__ = ["DEADLY_KIND", "KINDS", "ONCE_KINDS", "STREAM_KINDS", "Caller", "DeadlyCaller"]
@@ -126,7 +126,9 @@
         try:
             with anyio.fail_after(asked.deadline_ms / 1000 + 1.0):
                 async with httpcore.AsyncConnectionPool() as pool:
-                    reply = await pool.request("POST", url, headers=fields | PROMPT, content=DEADLY)
+                    reply = await pool.request(
+                        "POST", url, headers=fields | PROMPT, content=CRASHING
+                    )
             asked.outcome, asked.status = "answered", reply.status
         except TimeoutError:
             asked.outcome = "left"
--- a/saffronworks/tests/soak/endpoints.py
+++ b/saffronworks/tests/soak/endpoints.py
@@ -7,7 +7,7 @@
 import attrs
 
 from saffronworks.standins.addresses import free_address
-from saffronworks.tests.crashing_servers import DEADLY
+from saffronworks.tests.crashing_servers import CRASHING
 from saffronworks.tests.platform_fakes import FakeServer
 from saffronworks.tests.soak.organisations import check_endpoint_fields
 from saffronworks.tests.soak.records import Ran, Reached, Rejected
@@ -132,7 +132,7 @@
         if headers.get("stage") == "prefill":
             return await self._read_prompt(writer, request_id)
         self.records.arrived.append((self.service, request_id, now_ms))
-        if DEADLY in body:
+        if CRASHING in body:
             await asyncio.sleep(DEADLY_RUNS_S)
             self.site.end_under_deadly(self)
             return False
