--- a/saffronworks/tests/features/steps/limit_fleet_steps.py
+++ b/saffronworks/tests/features/steps/limit_fleet_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.tests.limit_plays import ENDPOINT, LimitFleet
-from saffronworks.tests.virtual_fleet import STRIKES
+from saffronworks.tests.virtual_fleet import FAULTS
 
 SEEDS = range(1, 5)
 CALM_MS, HELD_MS, TROUBLE_MS, AFTER_MS = 1000, 8000, 6000, 10_000
@@ -77,7 +77,7 @@
 def any_troubles(context):
     trouble = st.tuples(
         st.integers(500, 9000),
-        st.sampled_from(STRIKES),
+        st.sampled_from(FAULTS),
         st.floats(0.05, 0.6),
         st.integers(500, 6000),
     )
@@ -95,7 +95,7 @@
         fleet.per_s = per_s
         for at_ms, kind, share, for_ms in troubles:
             names = part(fleet, share)
-            fleet.at(at_ms, fleet.strike, ENDPOINT, kind, names, for_ms)
+            fleet.at(at_ms, fleet.inject_fault, ENDPOINT, kind, names, for_ms)
         fleet.play(12_000)
         assert fleet.worst_window() <= 1.0, (seed, count, per_s, troubles)
 
--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -25,7 +25,7 @@
 )
 from saffronworks.forwarding.tuning import NODE_AVOID_MS
 from saffronworks.tests.quota_plays import BOUNDS, GENERATION_TOKENS, Outcome, QuotaFleet
-from saffronworks.tests.virtual_fleet import STRIKES
+from saffronworks.tests.virtual_fleet import FAULTS
 
 SEEDS = range(1, 5)
 ORGANISATIONS = {"the largest": "org0", "a middle one": "org5"}
@@ -128,7 +128,7 @@
 def any_troubles(context):
     trouble = st.tuples(
         st.integers(500, 9000),
-        st.sampled_from(STRIKES),
+        st.sampled_from(FAULTS),
         st.floats(0.05, 0.6),
         st.integers(500, 6000),
     )
@@ -144,7 +144,7 @@
         fleet.factors["org0"] = 7.5
         for at_ms, kind, share, for_ms in troubles:
             names = fleet.rng.sample(fleet.names, max(1, int(share * count)))
-            fleet.at(at_ms, fleet.strike, "org0", kind, names, for_ms)
+            fleet.at(at_ms, fleet.inject_fault, "org0", kind, names, for_ms)
         outcome = fleet.play(12_000)
         assert outcome.worst_window(fleet.limits) <= 1.0
 
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -82,7 +82,7 @@
         for instance in self.nodes[name].table.limited():
             self.send(name, asker, self._hear_news, asker, self.nodes[name].table.entry(instance))
 
-    def struck(self, names, for_ms):
+    def on_fault(self, names, for_ms):
         until_ms = self.now_ms + for_ms + EXCUSED_MS
         self.excused_until_ms.update(dict.fromkeys(names, until_ms))
 
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -28,9 +28,9 @@
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
 from saffronworks.forwarding.tuning import YOUNG_MS
 
-__all__ = ["STRIKES", "FleetShares", "VirtualFleet"]
+__all__ = ["FAULTS", "FleetShares", "VirtualFleet"]
 
-STRIKES = ("kill", "holders", "freeze", "cut", "alone")
+FAULTS = ("kill", "holders", "freeze", "cut", "alone")
 
 STRONG_CORES, WEAK_CORES = 2.15, 0.5
 # One VM in ten is strong.
@@ -141,7 +141,7 @@
     def restart(self, name):
         """Called when a node restarts without state."""
 
-    def struck(self, names, for_ms):
+    def on_fault(self, names, for_ms):
         """Called for each fault with the nodes and its duration."""
 
     def holders(self, subject):
@@ -150,7 +150,7 @@
 
     def kill(self, names, for_ms):
         """Stop nodes for `for_ms`; they restart without state."""
-        self.struck(names, for_ms)
+        self.on_fault(names, for_ms)
         self.away.update(names)
         self.at(for_ms, self._start_again, list(names))
 
@@ -161,19 +161,19 @@
 
     def freeze(self, names, for_ms):
         """Freeze nodes for `for_ms`; they continue with their state."""
-        self.struck(names, for_ms)
+        self.on_fault(names, for_ms)
         self.away.update(names)
         self.at(for_ms, self.away.difference_update, list(names))
 
     def cut(self, groups, for_ms):
         """Partition the fleet for `for_ms`: each group reaches only its own members."""
         for number, names in enumerate(groups, start=1):
-            self.struck(names, for_ms)
+            self.on_fault(names, for_ms)
             self.apart.update(dict.fromkeys(names, number))
         self.at(for_ms, self.apart.clear)
 
-    def strike(self, subject, kind, names, for_ms):
-        """Inject one of the faults in `STRIKES` into these nodes or a subject's holders."""
+    def inject_fault(self, subject, kind, names, for_ms):
+        """Inject one of the faults in `FAULTS` into these nodes or a subject's holders."""
         match kind:
             case "kill":
                 self.kill(names, for_ms)
