--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -45,8 +45,8 @@
 class Outcome:
     """Counts of innocent contents with broken runs and of quarantined ones, and of crashes."""
 
-    struck: int
-    struck_twice: int
+    broken: int
+    broken_twice: int
     quarantined: int
     ends: int
 
@@ -59,7 +59,7 @@
         self.down_until_ms = [0] * endpoints
         self.table = SuspicionTable()
         self.news, self.back = [], []
-        self.struck, self.ends, self.starts = {}, 0, 0
+        self.broken, self.ends, self.starts = {}, 0, 0
         self.arrivals = endpoints * runs_each * STEP_MS / RUN_MS
         self.number = 0
 
@@ -82,7 +82,7 @@
         self.down_until_ms[index] = now_ms + self.habits.down_ms
         for run in broken:
             self.news.append((now_ms + KNOWN_AFTER_MS, run.content, instance))
-            self.struck[run.content] = self.struck.get(run.content, 0) + 1
+            self.broken[run.content] = self.broken.get(run.content, 0) + 1
         for run in broken:
             if run.runs_left:
                 self.send(run.content, now_ms, run.runs_left, run.returns)
@@ -115,11 +115,11 @@
     service = _Service(endpoints, runs_each, seed, habits)
     for now_ms in range(0, PLAYED_MS, STEP_MS):
         service.step(now_ms)
-    others = {content: count for content, count in service.struck.items() if content != CRASHING}
+    others = {content: count for content, count in service.broken.items() if content != CRASHING}
     known = [service.table.find(content) for content in others]
     return Outcome(
-        struck=len(others),
-        struck_twice=sum(count > 1 for count in others.values()),
+        broken=len(others),
+        broken_twice=sum(count > 1 for count in others.values()),
         quarantined=sum(found is not None and is_quarantined(found) for found in known),
         ends=service.ends,
     )
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -250,10 +250,10 @@
         (seldom, 45, 16, 0),
     ):
         played = [play_service(count, runs_each, seed, habits) for seed in SEEDS]
-        struck = sum(one.struck for one in played)
+        broken = sum(one.broken for one in played)
         wrongly = sum(one.quarantined for one in played)
-        assert struck > 50 and all(one.ends >= ENDS_TO_QUARANTINE for one in played), played
-        assert 100 * wrongly <= most_of_100 * struck, (habits, count, runs_each, struck, wrongly)
+        assert broken > 50 and all(one.ends >= ENDS_TO_QUARANTINE for one in played), played
+        assert 100 * wrongly <= most_of_100 * broken, (habits, count, runs_each, broken, wrongly)
     state = alone()
     state.update_nodes(["n1"])
     for content in ("beside", CRASHING):
