--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.role_keeper import _read_duty
 from saffronworks.tests.endpoint_plays import endpoints
-from saffronworks.tests.quarantine_plays import CRASHING, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, quarantined_fleet
 from saffronworks.tests.revisions import at
 
 # When a store is restored, on virtual time.
@@ -125,7 +125,7 @@
 
 @then("owners write what is quarantined again, and remove again what was cleared")
 def recorded_again(context):
-    fleet = fleet_that_knows()
+    fleet = quarantined_fleet()
     assert fleet.stored
     copy = dict(fleet.stored)
     fleet.stored.clear()
--- a/saffronworks/tests/features/steps/suspicion_fleet_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_fleet_steps.py
@@ -6,7 +6,7 @@
 from saffronworks.forwarding.quarantine.tuning import (
     ENDS_TO_QUARANTINE,
 )
-from saffronworks.tests.quarantine_plays import CRASHING, Fleet, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, Fleet, quarantined_fleet
 
 SEEDS = range(10)
 CONTACT_MS = 3000
@@ -21,7 +21,7 @@
 @when("a deadly content comes every {every:d} ms at random nodes, with ten seeds")
 def comes(context, every):
     for fleet in context.fleets:
-        fleet.come_again(every, PLAYED_MS)
+        fleet.repeat(every, PLAYED_MS)
 
 
 @then("all nodes refuse it within {within:d} ms of the third end, and none sends it later")
@@ -30,7 +30,7 @@
         while len(fleet.ends) < ENDS_TO_QUARANTINE:
             fleet.run(fleet.now_ms + 10)
         fleet.run(fleet.ends[2] + within)
-        assert fleet.knowing() == len(fleet.nodes), (fleet.knowing(), fleet.now_ms)
+        assert fleet.refusing() == len(fleet.nodes), (fleet.refusing(), fleet.now_ms)
         fleet.run(PLAYED_MS)
         assert not fleet.late_sends(within), fleet.late_sends(within)
 
@@ -39,11 +39,11 @@
 def half_gone(context):
     for seed in SEEDS:
         fleet = Fleet(200, seed, dead=200)
-        fleet.come_again(300, 3000)
+        fleet.repeat(300, 3000)
         while len(fleet.ends) < ENDS_TO_QUARANTINE:
             fleet.run(fleet.now_ms + 10)
         fleet.run(fleet.ends[2] + CONTACT_MS)
-        assert fleet.knowing() == 200, (seed, fleet.knowing())
+        assert fleet.refusing() == 200, (seed, fleet.refusing())
 
 
 @then("a node that was cut off refuses it within three seconds of its return")
@@ -56,15 +56,15 @@
         for at_ms in range(0, 4000, 300):
             fleet.at(at_ms, fleet.ask, others[at_ms // 300 % 6])
         fleet.run(20_000)
-        assert fleet.knowing() == 6, fleet.knowing()
+        assert fleet.refusing() == 6, fleet.refusing()
         fleet.nodes[cut].away = False
         fleet.run(20_000 + CONTACT_MS)
-        assert fleet.knowing() == 7, (seed, cut)
+        assert fleet.refusing() == 7, (seed, cut)
 
 
 @then("so does one that starts again, while no other way is there but the store")
 def starts_again(context):
-    fleet = fleet_that_knows()
+    fleet = quarantined_fleet()
     name = fleet.names[0]
     for other in fleet.names[1:]:
         fleet.nodes[other].away = True
@@ -75,11 +75,11 @@
 
 @then("so do all nodes when all have started again")
 def all_again(context):
-    fleet = fleet_that_knows()
+    fleet = quarantined_fleet()
     sends = len(fleet.sends)
     for name in fleet.names:
         fleet.restart(name)
     fleet.run(fleet.now_ms + 300)
-    fleet.come_again(100, fleet.now_ms + 5000)
+    fleet.repeat(100, fleet.now_ms + 5000)
     fleet.run(fleet.now_ms + 10_000)
-    assert len(fleet.sends) == sends and fleet.knowing() == 7, fleet.sends
+    assert len(fleet.sends) == sends and fleet.refusing() == 7, fleet.sends
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -48,7 +48,7 @@
 from saffronworks.tests.concurrent_runs import Habits, play_service
 from saffronworks.tests.endpoint_plays import REPLY_KINDS, endpoints, head_of, wide_budget
 from saffronworks.tests.generation_plays import POOLS, generation
-from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at, fleet_that_knows
+from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at, quarantined_fleet
 from saffronworks.wire import Codec
 
 SEEDS = range(10)
@@ -67,7 +67,7 @@
 
 @then("a fleet that knows of a content tells it five times a second and node at most")
 def tells_little(context):
-    fleet = fleet_that_knows(85)
+    fleet = quarantined_fleet(85)
     assert fleet.messages / 85 / 10 < 10, "while it is new"
     before = fleet.messages
     fleet.run(20_000)
@@ -205,11 +205,11 @@
     step(early, events.RunSucceeded(CRASHING), 10)
     ended(early, CRASHING, 3, 4)
     assert early.admission(CRASHING, 20) is Admission.ALLOWED
-    fleet = fleet_that_knows()
-    assert fleet.knowing() == 7 and CRASHING in fleet.stored
+    fleet = quarantined_fleet()
+    assert fleet.refusing() == 7 and CRASHING in fleet.stored
     fleet.take(fleet.names[0], events.RunSucceeded(CRASHING))
     fleet.run(fleet.now_ms + CONTACT_MS)
-    assert fleet.knowing() == 0 and CRASHING not in fleet.stored
+    assert fleet.refusing() == 0 and CRASHING not in fleet.stored
 
 
 @then("an answer that ends by a close is no good run, as an endpoint's end closes too")
@@ -227,15 +227,15 @@
 
 @then("a node that missed the good run hears of it when it tells what it knows")
 def missed_run(context):
-    fleet = fleet_that_knows()
+    fleet = quarantined_fleet()
     missed = fleet.names[5]
     fleet.nodes[missed].away = True
     fleet.take(fleet.names[0], events.RunSucceeded(CRASHING))
     fleet.run(fleet.now_ms + 30_000)
-    assert fleet.knowing() == 1
+    assert fleet.refusing() == 1
     fleet.nodes[missed].away = False
     fleet.run(fleet.now_ms + CONTACT_MS)
-    assert fleet.knowing() == 0
+    assert fleet.refusing() == 0
 
 
 @then("of the requests beside a deadly content few are quarantined, and those have a trial soon")
@@ -264,12 +264,12 @@
 
 @then("a owner lets it through once after ten minutes, to one endpoint, and no other node does")
 def one_trial(context):
-    fleet = fleet_that_knows()
+    fleet = quarantined_fleet()
     fleet.run(TRIAL_AFTER_MS + 10_000)
     ends = len(fleet.ends)
     admissions = [node.state.admission(CRASHING, fleet.now_ms) for node in fleet.nodes.values()]
     assert sorted(v.value for v in admissions) == ["refused"] * 4 + ["trial"] * 3, admissions
-    fleet.come_again(100, fleet.now_ms + 5000)
+    fleet.repeat(100, fleet.now_ms + 5000)
     fleet.run(fleet.now_ms + 10_000)
     assert len(fleet.ends) == ends + 1, fleet.ends
     context.fleet = fleet
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -24,7 +24,7 @@
     RECORD_READ_DELAYS_S,
 )
 
-__all__ = ["CRASHING", "Fleet", "endpoint_at", "fleet_that_knows"]
+__all__ = ["CRASHING", "Fleet", "endpoint_at", "quarantined_fleet"]
 
 CRASHING = ContentId("deadly")
 # Runs that the route allows per request; a trial has one.
@@ -141,7 +141,7 @@
         if runs_left and admission is Admission.ALLOWED:
             self._run(name, runs_left)
 
-    def come_again(self, every_ms, until_ms):
+    def repeat(self, every_ms, until_ms):
         """Let the content arrive at random nodes every `every_ms` until `until_ms`."""
         for at_ms in range(self.now_ms, until_ms, every_ms):
             self.at(at_ms - self.now_ms, self.ask)
@@ -151,15 +151,15 @@
         from_ms = self.ends[2] + contact_ms
         return [sent for sent in self.sends if sent[0] > from_ms]
 
-    def knowing(self):
+    def refusing(self):
         """Return how many nodes would refuse the content."""
         judged = [n.state.table.admission(CRASHING, self.now_ms) for n in self.nodes.values()]
         return sum(admission is Admission.REFUSED for admission in judged)
 
 
-def fleet_that_knows(count=7, seed=3):
+def quarantined_fleet(count=7, seed=3):
     """Return a fleet that quarantined the crashing content some seconds ago."""
     fleet = Fleet(count, seed)
-    fleet.come_again(300, 4000)
+    fleet.repeat(300, 4000)
     fleet.run(10_000)
     return fleet
