--- a/saffronworks/tests/features/steps/limit_fleet_steps.py
+++ b/saffronworks/tests/features/steps/limit_fleet_steps.py
@@ -107,7 +107,7 @@
     for fleet in context.fleets:
         again = LimitFleet(len(fleet.live), context.per_s, 9)
         again.play(1500)
-        assert again.knowing() >= 0.95, again.knowing()
+        assert again.informed_share() >= 0.95, again.informed_share()
 
 
 @then("when its need is over it gets all that comes within two seconds")
@@ -133,7 +133,7 @@
         assert later and fleet.worst_window(of_all=True) <= 1.0
         fleet.per_s = None
         fleet.play(15_000)
-        assert fleet.knowing() >= 0.95
+        assert fleet.informed_share() >= 0.95
 
 
 @then("what a node sends for a limit grows neither with the callers nor with the nodes")
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -189,7 +189,7 @@
         reached = sum(from_ms <= arrival.at_ms < until_ms for arrival in self.arrivals)
         return reached / (self.per_s * (until_ms - from_ms) / 1000)
 
-    def knowing(self):
+    def informed_share(self):
         """Return the fraction of live nodes that have the endpoint's newest limit."""
         know = [self.nodes[name].table.find(ENDPOINT) == self.per_s for name in self.live]
         return sum(know) / len(know)
