--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -27,9 +27,9 @@
 __all__ = ["ENDPOINT", "LimitFleet"]
 
 ENDPOINT = "e0"
-CONTACT_MS, TOLD_MS = 3000, 500
+CONTACT_MS, INFORMED_AFTER_MS = 3000, 500
 # After a fault, the sends of a node aren't counted for this long.
-EXCUSED_MS = 3000
+EXCLUDED_MS = 3000
 REQUESTS_PER_S = 20.0
 
 
@@ -41,14 +41,14 @@
     backoff: LimitBackoff
     table: LimitTable = attrs.Factory(LimitTable)
     pending: PendingUpdates = attrs.Factory(PendingUpdates)
-    told_ms: int | None = None
+    informed_ms: int | None = None
 
 
 @attrs.frozen
 class _Arrival:
     at_ms: int
     node: str
-    told: bool
+    informed: bool
 
 
 class LimitFleet(VirtualFleet):
@@ -61,7 +61,7 @@
         self.asked = 0
         self.arrivals = []
         self.first_named_ms = None
-        self.excused_until_ms = {}
+        self.excluded_until_ms = {}
         self.nodes = {name: self._start(name) for name in self.names}
         self.shares = FleetShares(self, LIMIT_TOLERANCE, self._limit_of, stagger_retries=False)
         for name in self.live:
@@ -83,8 +83,8 @@
             self.send(name, asker, self._hear_news, asker, self.nodes[name].table.entry(instance))
 
     def on_fault(self, names, for_ms):
-        until_ms = self.now_ms + for_ms + EXCUSED_MS
-        self.excused_until_ms.update(dict.fromkeys(names, until_ms))
+        until_ms = self.now_ms + for_ms + EXCLUDED_MS
+        self.excluded_until_ms.update(dict.fromkeys(names, until_ms))
 
     def _limit_of(self, name, event):
         known = self.nodes[name].table.find(event.subject)
@@ -154,10 +154,10 @@
         self.at(self.rng.randint(1, 4), self._reach, name, sent_ms)
 
     def _reach(self, name, sent_ms):
-        told_ms = self.nodes[name].told_ms
-        told = told_ms is not None and told_ms + TOLD_MS <= self.now_ms
-        excused = self.now_ms < self.excused_until_ms.get(name, 0)
-        self.arrivals.append(_Arrival(self.now_ms, name, told and not excused))
+        informed_ms = self.nodes[name].informed_ms
+        informed = informed_ms is not None and informed_ms + INFORMED_AFTER_MS <= self.now_ms
+        excluded = self.now_ms < self.excluded_until_ms.get(name, 0)
+        self.arrivals.append(_Arrival(self.now_ms, name, informed and not excluded))
         self.at(self.rng.randint(30, 120), self._answer, name, sent_ms, self.per_s)
 
     def _answer(self, name, sent_ms, per_s):
@@ -169,7 +169,7 @@
             if per_s is None:
                 node.backoff.clear(ENDPOINT)
         if per_s is not None:
-            node.told_ms = node.told_ms or self.now_ms
+            node.informed_ms = node.informed_ms or self.now_ms
             self.first_named_ms = self.first_named_ms or self.now_ms
 
     # Results.
@@ -177,7 +177,7 @@
     def worst_window(self, of_all=False):
         """Return the most requests in a window, as a fraction of what the endpoint tolerates."""
         from_ms = self.first_named_ms + CONTACT_MS
-        counted = [a.at_ms for a in self.arrivals if a.at_ms >= from_ms and (a.told or of_all)]
+        counted = [a.at_ms for a in self.arrivals if a.at_ms >= from_ms and (a.informed or of_all)]
         window_ms = LIMIT_TOLERANCE.window_ms
         most = max((sum(at <= b < at + window_ms for b in counted) for at in counted), default=0)
         return most / int(
