--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -24,7 +24,7 @@
     SETTLED_MS,
 )
 from saffronworks.forwarding.tuning import NODE_AVOID_MS
-from saffronworks.tests.quota_plays import BOUNDS, GENERATION_TOKENS, Outcome, QuotaFleet
+from saffronworks.tests.quota_plays import GENERATION_TOKENS, TOLERANCE, Outcome, QuotaFleet
 from saffronworks.tests.virtual_fleet import FAULTS
 
 SEEDS = range(1, 5)
@@ -158,7 +158,7 @@
     fleet.play(10_000)
     before = fleet.limits["org0"]
     fleet.limits["org0"] = before.share(3)
-    fleet.play(BOUNDS.window_ms)
+    fleet.play(TOLERANCE.window_ms)
     context.from_ms = fleet.now_ms
     fleet.play(10_000)
 
@@ -209,7 +209,7 @@
 
 
 def holder_since_long():
-    return HolderState(attrs.evolve(BOUNDS, slack=0, overage=0), -BOUNDS.window_ms)
+    return HolderState(attrs.evolve(TOLERANCE, slack=0, overage=0), -TOLERANCE.window_ms)
 
 
 @then("a request counts once, however often its holder is asked")
@@ -306,7 +306,7 @@
 
 @then("a node alone forgets organisations that are gone")
 def alone_forgets(context):
-    allowances = Allowances(BOUNDS, 60)
+    allowances = Allowances(TOLERANCE, 60)
     for number in range(100):
         allowances.admit(Ask("r", f"o{number}", 200, LIMIT, 3), 0)
     allowances.keep_only({"o7"})
@@ -325,10 +325,10 @@
 @then("what such nodes admit stays within their parts in the mean")
 def parts_in_the_mean(context):
     nodes, limit = 60, Limit(110_000, 110_000)
-    part = NO_HOLDER_SHARE * BOUNDS.spare(limit) / nodes
+    part = NO_HOLDER_SHARE * TOLERANCE.spare(limit) / nodes
     admitted = []
     for node in range(2000):
-        alone = Allowances(BOUNDS, nodes)
+        alone = Allowances(TOLERANCE, nodes)
         asks = ((f"{node}/{n}", n * 1600) for n in range(5))
         won = [
             alone.admit(Ask(rid, "o", GENERATION_TOKENS, limit, 3), at_ms) for rid, at_ms in asks
--- a/saffronworks/tests/quota_plays.py
+++ b/saffronworks/tests/quota_plays.py
@@ -15,9 +15,9 @@
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.tests.virtual_fleet import FleetShares, VirtualFleet
 
-__all__ = ["BOUNDS", "Outcome", "QuotaFleet", "Request", "usual_organisations"]
+__all__ = ["TOLERANCE", "Outcome", "QuotaFleet", "Request", "usual_organisations"]
 
-BOUNDS = Tolerance(window_ms=8000, overage=0.1, slack=120_000)
+TOLERANCE = Tolerance(window_ms=8000, overage=0.1, slack=120_000)
 GENERATION_TOKENS, PLAIN_TOKENS = 14_000, 200
 GENERATION_SHARE = 0.12
 LEAST_PER_S = 29_000
@@ -74,14 +74,14 @@
         )
 
     def _may(self, limit):
-        allowed = limit.per_s * BOUNDS.window_ms / 1000 + limit.burst
-        return allowed + BOUNDS.spare(limit)
+        allowed = limit.per_s * TOLERANCE.window_ms / 1000 + limit.burst
+        return allowed + TOLERANCE.spare(limit)
 
     def _most(self, runs):
         most = total = first = 0
         for at_ms, cost in runs:
             total += cost
-            while runs[first][0] <= at_ms - BOUNDS.window_ms:
+            while runs[first][0] <= at_ms - TOLERANCE.window_ms:
                 total -= runs[first][1]
                 first += 1
             most = max(most, total)
@@ -114,7 +114,7 @@
         self.outcome = Outcome()
         self.not_run_share = 0.0
         self._ideal = _Ideal()
-        self.shares = FleetShares(self, BOUNDS, lambda _, event: self.limits[event.subject])
+        self.shares = FleetShares(self, TOLERANCE, lambda _, event: self.limits[event.subject])
 
     def restart(self, name):
         self.shares.restart(name)
