--- a/saffronworks/tests/quota_plays.py
+++ b/saffronworks/tests/quota_plays.py
@@ -20,7 +20,7 @@
 TOLERANCE = Tolerance(window_ms=8000, overage=0.1, slack=120_000)
 GENERATION_TOKENS, PLAIN_TOKENS = 14_000, 200
 GENERATION_SHARE = 0.12
-LEAST_PER_S = 29_000
+MIN_PER_S = 29_000
 LIMIT_BY_USUAL = 1.8
 
 
@@ -35,7 +35,7 @@
 
 
 def limit_of(requests_per_s):
-    per_s = max(LEAST_PER_S, LIMIT_BY_USUAL * requests_per_s * mean_cost())
+    per_s = max(MIN_PER_S, LIMIT_BY_USUAL * requests_per_s * mean_cost())
     return Limit(per_s, per_s)
 
 
