--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -28,7 +28,7 @@
 
 CRASHING = ContentId("deadly")
 # Runs that the route allows per request; a trial has one.
-MOST_RUNS = 2
+MAX_RUNS = 2
 
 
 def endpoint_at(number):
@@ -124,7 +124,7 @@
         name = name or self.rng.choice(list(self.nodes))
         match self.nodes[name].state.admission(CRASHING, self.now_ms):
             case Admission.ALLOWED:
-                self._run(name, MOST_RUNS)
+                self._run(name, MAX_RUNS)
             case Admission.TRIAL:
                 self.take(name, events.TrialStarted(CRASHING))
                 self._run(name, 1)
