--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -117,13 +117,13 @@
 
 
 class VirtualFleet:
-    """Nodes and their faults; `apart` maps nodes to partitions that can't reach each other."""
+    """Nodes and their faults; `partitions` maps nodes to partitions that can't reach each other."""
 
     def __init__(self, count, seed, dead=0):
         self.rng = random.Random(seed)
         self.now_ms = 0
         self.messages = 0
-        self.apart = {}
+        self.partitions = {}
         self.away = set()
         self._queue, self._numbers = [], itertools.count()
         self.names = [f"10.0.{i // 250}.{i % 250}:7660" for i in range(count + dead)]
@@ -169,8 +169,8 @@
         """Partition the fleet for `for_ms`: each group reaches only its own members."""
         for number, names in enumerate(groups, start=1):
             self.on_fault(names, for_ms)
-            self.apart.update(dict.fromkeys(names, number))
-        self.at(for_ms, self.apart.clear)
+            self.partitions.update(dict.fromkeys(names, number))
+        self.at(for_ms, self.partitions.clear)
 
     def inject_fault(self, subject, kind, names, for_ms):
         """Inject one of the faults in `FAULTS` into these nodes or a subject's holders."""
@@ -198,10 +198,10 @@
                 back_ms = max(within_ms, away_ms + self.rng.randrange(within_ms))
                 self.at(back_ms, self.shares.lose, name, ())
 
-    def _hears(self, one, other):
+    def _reaches(self, one, other):
         if {one, other} & self.away:
             return False
-        return self.apart.get(one, 0) == self.apart.get(other, 0)
+        return self.partitions.get(one, 0) == self.partitions.get(other, 0)
 
     # Time and messages.
 
@@ -217,13 +217,13 @@
     def send(self, source, target, function, *arguments):
         """Send a message: call a function at another node unless a fault prevents delivery."""
         self.messages += 1
-        if source != target and not self._hears(source, target):
+        if source != target and not self._reaches(source, target):
             return
         delay_ms = 0 if source == target else self.rng.randint(1, 10)
         self.at(delay_ms, self._deliver, source, target, function, arguments)
 
     def _deliver(self, source, target, function, arguments):
-        if source == target or self._hears(source, target):
+        if source == target or self._reaches(source, target):
             function(*arguments)
 
     def run(self, until_ms):
