--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -214,21 +214,21 @@
 
 @then("a request counts once, however often its holder is asked")
 def counts_once(context):
-    held = holder_since_long()
+    holder = holder_since_long()
     for _ in range(5):
-        assert step(held, ask_of(1), LIMIT, 0)[0].admitted
-    assert held.buckets["o"].level == 50
+        assert step(holder, ask_of(1), LIMIT, 0)[0].admitted
+    assert holder.buckets["o"].level == 50
 
 
 @then("what was not run is given back once")
 def given_back_once(context):
-    held = holder_since_long()
+    holder = holder_since_long()
     for number in (1, 2, 3):
-        step(held, ask_of(number), LIMIT, 0)
+        step(holder, ask_of(number), LIMIT, 0)
     for _ in range(3):
-        step(held, Refund("r1", "o", 1), LIMIT, 0)
-        step(held, Refund("r9", "o", 1), LIMIT, 0)
-    assert held.buckets["o"].level == 100
+        step(holder, Refund("r1", "o", 1), LIMIT, 0)
+        step(holder, Refund("r9", "o", 1), LIMIT, 0)
+    assert holder.buckets["o"].level == 100
 
 
 @then("a node that has counted fewer than three divides a quota by three until all know that")
@@ -280,10 +280,10 @@
 
 @then("each change is told once, when a request is refused and when half of the share is free")
 def changes_told(context):
-    held, told = holder_since_long(), []
+    holder, told = holder_since_long(), []
     for number in range(200):
         now_ms = number * 100 if number < 100 else 10_000 + (number - 100) * 1000
-        replies = step(held, ask_of(number, cost=LIMIT.per_s / 4), LIMIT, now_ms)
+        replies = step(holder, ask_of(number, cost=LIMIT.per_s / 4), LIMIT, now_ms)
         admitted = next(one.admitted for one in replies if isinstance(one, Answer))
         for change in replies[1:]:
             assert change.exceeded is not admitted, (number, change)
@@ -293,15 +293,15 @@
 
 @then("a holder forgets organisations that owe nothing, and requests that are long over")
 def forgets(context):
-    held = holder_since_long()
+    holder = holder_since_long()
     for number in range(2 * MAX_COUNTED_ASKS):
-        step(held, ask_of(number, cost=0), LIMIT, 0)
-    assert len(held.buckets["o"]._counted) <= MAX_COUNTED_ASKS + 1
+        step(holder, ask_of(number, cost=0), LIMIT, 0)
+    assert len(holder.buckets["o"]._counted) <= MAX_COUNTED_ASKS + 1
     for number in range(1000):
-        step(held, ask_of(number, name=f"o{number}"), LIMIT, 0)
+        step(holder, ask_of(number, name=f"o{number}"), LIMIT, 0)
     later_ms = COUNTED_RETENTION_MS + BUCKET_EXPIRY_INTERVAL_MS
-    step(held, ask_of("x"), LIMIT, later_ms)
-    assert len(held.buckets) == 1, len(held.buckets)
+    step(holder, ask_of("x"), LIMIT, later_ms)
+    assert len(holder.buckets) == 1, len(holder.buckets)
 
 
 @then("a node alone forgets organisations that are gone")
@@ -315,8 +315,8 @@
 
 @then("each is told a later time, at the pace of the quota")
 def one_after_the_other(context):
-    held = holder_since_long()
-    answers = [step(held, ask_of(number), LIMIT, 0)[0] for number in range(16)]
+    holder = holder_since_long()
+    answers = [step(holder, ask_of(number), LIMIT, 0)[0] for number in range(16)]
     told = [answer.retry_after_ms for answer in answers if not answer.admitted]
     assert [answer.admitted for answer in answers].count(True) == 6
     assert told == [500 * turn for turn in range(1, 11)], told
