--- a/saffronworks/tests/features/steps/advertised_steps.py
+++ b/saffronworks/tests/features/steps/advertised_steps.py
@@ -44,7 +44,7 @@
     context.web = web_servers(1)
 
 
-@given("three engines, two that decode and one that reads, and a second reader")
+@given("two decode engines and two prefill engines")
 def four_engines(context):
     context.web = [*engines(), FakeServer("p1", "llm", "prefill")]
 
@@ -88,9 +88,10 @@
 
 
 @when(
-    "one of them drains while the store is silent, and callers ask for {per_s:d} requests a second"
+    "one of them drains while the store does not answer, and callers send {per_s:d} requests "
+    "a second"
 )
-@when("it drains while the store is silent, and callers ask for {per_s:d} requests a second")
+@when("it drains while the store does not answer, and callers send {per_s:d} requests a second")
 def drains(context, per_s):
     def strike(place):
         place.store.fault = "silent"
@@ -99,7 +100,9 @@
     play_callers(context, per_s, strike)
 
 
-@then("it gets no request that was sent two seconds after its node had passed such an answer on")
+@then(
+    "it gets no request that was sent more than two seconds after its node relayed such an answer"
+)
 def none_late(context):
     reached = arrivals(context, context.web[0])
     told_s = {}
@@ -116,24 +119,24 @@
 
 
 @when(
-    "that one rejects all and asks for a pause of {pause_s:d} s, "
-    "and callers ask for {per_s:d} requests a second"
+    "that endpoint rejects all requests with a pause of {pause_s:d} s, and callers send "
+    "{per_s:d} requests a second"
 )
 def one_pauses(context, pause_s, per_s):
     reject_all(context, context.web[:1], pause_s, per_s)
 
 
 @when(
-    "all of them reject all and ask for a pause of {pause_s:d} s, "
-    "and callers ask for {per_s:d} requests a second"
+    "all of them reject all requests with a pause of {pause_s:d} s, and callers send "
+    "{per_s:d} requests a second"
 )
 def all_pause(context, pause_s, per_s):
     reject_all(context, context.web, pause_s, per_s)
 
 
 @when(
-    "one of each rejects all and asks for a pause of {pause_s:d} s, "
-    "and callers ask for {per_s:d} generations a second"
+    "one of each kind rejects all requests with a pause of {pause_s:d} s, and callers send "
+    "{per_s:d} generations a second"
 )
 def engines_pause(context, pause_s, per_s):
     reject_all(context, [context.web[0], context.web[2]], pause_s, per_s, generate)
@@ -150,8 +153,8 @@
 
 
 @then(
-    "no node sends it more than two requests from half a second after such an answer "
-    "to the pause's end"
+    "each node sends it at most two requests from half a second after such an answer until "
+    "the pause ends"
 )
 def few_in_pause(context):
     for server in context.paused:
@@ -170,8 +173,8 @@
 
 
 @then(
-    "callers are told at once that they have not run, "
-    "and to come back no sooner than the pause ends"
+    "requests are rejected at once as not executed, with a retry time no earlier than the "
+    "pause's end"
 )
 def told_of_pause(context):
     ended_s = context.struck_s + context.pause_s
@@ -187,8 +190,8 @@
 
 
 @when(
-    "one of each drains while the store is silent, "
-    "and callers ask for {per_s:d} generations a second"
+    "one of each kind drains while the store does not answer, and callers send {per_s:d} "
+    "generations a second"
 )
 def engines_drain(context, per_s):
     context.draining = [context.web[0], context.web[2]]
@@ -201,7 +204,7 @@
     play_callers(context, per_s, strike, generate)
 
 
-@then("each gets a few calls until all nodes know it, and none three seconds later")
+@then("each gets at most two calls per node, and none after three seconds")
 def no_late_calls(context):
     for engine in context.draining:
         after_s = calls_after(engine, context.struck_s)
@@ -212,7 +215,7 @@
         assert not late_s, (engine.instance, late_s)
 
 
-@then("those that came before are served, and the others told at once that they have not run")
+@then("earlier requests are served, and later ones rejected at once as not executed")
 def served_or_told(context):
     before = [one for one in context.asked if one.sent_s < context.struck_s + DRAIN_S]
     after = [one for one in context.asked if one.sent_s > context.struck_s + 2 * DRAIN_S]
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -72,10 +72,7 @@
 )
 
 
-@then(
-    "whatever the store lists later, and whatever the endpoint answers, "
-    "only a later start takes requests"
-)
+@then("only a restart of the endpoint ends it, whatever the store lists or the endpoint answers")
 def drains_for_good(context):
     @forall(LATER)
     def check(later):
@@ -112,7 +109,7 @@
     assert KEEP_GONE_MS >= 20 * 2500
 
 
-@then("an endpoint of another name at its address does")
+@then("another endpoint at the same address takes requests")
 def other_name(context):
     directory = Directory()
     eligibility = eligibility_of_one_node(directory)
@@ -131,7 +128,7 @@
     return advertised(200, *(("Server-Leaving", value) for value in values))
 
 
-@then("a server drains that says 1, and what else stands there is logged once and changes nothing")
+@then("a server drains if the field is 1; any other value is logged once and ignored")
 def reads_drain(context):
     assert leaving("1").draining and leaving(" 1 ").draining and leaving("0", "1").draining
     assert not leaving().draining and not leaving("0").draining and not leaving("0").malformed
@@ -152,7 +149,7 @@
     return advertised(status, *(("Retry-After", value) for value in values))
 
 
-@then("a rejection names a pause by a plain number of seconds or a date, of several the longest")
+@then("a pause is a plain number of seconds or a date, the longest of several")
 def reads_pause(context):
     assert pause("3").pause_ms == 3000 and pause("0.25").pause_ms == 250
     assert pause("2", "5", "1").pause_ms == 5000 and pause("3", status=429).pause_ms == 3000
@@ -166,13 +163,13 @@
     assert pause("soon", "2").pause_ms == 2000
 
 
-@then("an answer of another server that has the address says nothing of the one that was meant")
+@then("an answer from another server at the address is ignored")
 def misdirected(context):
     fields = (("Server-Leaving", "1"), ("Retry-After", "3"), ("Instance-Id", "e9"))
     assert advertised(421, *fields) is None
 
 
-@then("whatever bytes the fields hold, none raises")
+@then("no field value raises an exception")
 def no_raise(context):
     names = st.sampled_from(["Server-Leaving", "Retry-After", "Server-Limit", "Date"])
     texts = st.text(st.characters(max_codepoint=255), max_size=60)
@@ -185,7 +182,7 @@
     check()
 
 
-@then("each field of an answer that nothing reads is logged once, and few of them")
+@then("each unknown field is logged once, up to a limit")
 def unknown_fields(context):
     unknown = UnknownFields()
     with LogLines("saffronworks.platform.answer_fields") as lines:
@@ -200,7 +197,7 @@
     return CallerRequest("r1", "POST", "/a", "h", (), b"", 0, 9000)
 
 
-@then("nothing is sent, the endpoint has not failed, and its connection is kept for later")
+@then("nothing is sent, the endpoint does not count as failed, and its connection is reused")
 def withheld(context):
     server = FakeServer("e0", "s")
     endpoint = ServiceEndpoint("e0", "s", server.address, "z")
@@ -240,7 +237,7 @@
     assert server.connections == 1
 
 
-@then("a generation goes elsewhere, without telling the planner of a failure")
+@then("a generation is sent to another engine, without reporting a failure to the planner")
 def generation_withheld(context):
     decoders, readers = endpoints(2, Role.DECODE, "d"), endpoints(1, Role.PREFILL, "p")
     state, pools, budget = generation(), Pools(decoders, readers), wide_budget()
@@ -280,7 +277,7 @@
     return sent, command
 
 
-@then("whatever blocks endpoints, and whatever they answer, it goes to none that is blocked")
+@then("it is never sent to a blocked endpoint, whatever the blocks and the answers")
 def none_blocked(context):
     @forall(st.booleans(), REPLIES, BLOCKS)
     def check(may_repeat, replies, blocks):
@@ -291,7 +288,9 @@
     check()
 
 
-@then("where all are blocked it is refused at once, with the time at which the first may take it")
+@then(
+    "if all endpoints are blocked it is refused at once, with the time until the first block ends"
+)
 def all_blocked(context):
     def refusal(*blocks):
         named = {f"e{number}": block for number, block in enumerate(blocks)}
@@ -310,7 +309,7 @@
     return GenerationState("s", 100, True, 2, 900, 0, 14_000, 2000, plans_left=2)
 
 
-@then("a generation whose engines pause goes elsewhere, and none of them has failed")
+@then("a generation avoids paused engines, and none of them counts as failed")
 def generation_paused(context):
     decoders, readers = endpoints(2, Role.DECODE, "d"), endpoints(2, Role.PREFILL, "p")
     pauses = {"d0": Block(BlockReason.PAUSED, 3000), "p0": Block(BlockReason.PAUSED, 3000)}
@@ -333,7 +332,7 @@
     assert isinstance(waits, Wait) and not state.broken and not state.runs
 
 
-@then("it holds until its latest end, whatever comes in between, for one start of an endpoint")
+@then("it lasts until the latest end that was advertised, for one start of an endpoint")
 def pause_holds(context):
     @forall(st.lists(st.tuples(st.integers(0, 900), st.integers(0, 5000)), max_size=8))
     def check(asked):
@@ -351,7 +350,7 @@
     check()
 
 
-@then("only a request with a reservation may follow right after it began")
+@then("only a request with a reservation may be sent right after the pause began")
 def reserved_follows(context):
     now_ms = [0]
     directory = Directory()
