--- a/saffronworks/tests/features/steps/quarantine_steps.py
+++ b/saffronworks/tests/features/steps/quarantine_steps.py
@@ -36,7 +36,7 @@
         server.store = store
 
 
-@when("a content that ends each engine which runs it is asked for at two nodes in turn")
+@when("a content that crashes each engine which runs it is sent to two nodes in turn")
 def asked_again(context):
     context.arrivals = arrivals = Arrivals()
     servers = engines_that_end(arrivals)
@@ -60,13 +60,13 @@
     on_platform(servers, play, count=2)
 
 
-@then("from three seconds after the third end on it reaches engines three times at most")
+@then("it reaches engines at most three times from three seconds after the third crash on")
 def bounded(context):
     sends = context.arrivals.sends_after_third_end(CONTACT_S)
     assert sends <= 3, f"{sends} sends, {len(context.arrivals.ends_s)} ends"
 
 
-@then("each of its callers was told so at once")
+@then("each of its callers gets an error at once")
 def told_at_once(context):
     assert len(context.late) > 5, context.late
     for took_s, raw in context.late[3:]:
@@ -75,13 +75,13 @@
         assert b"ends-endpoints" in raw, raw
 
 
-@then("what others ask for is served again")
+@then("other requests are served again")
 def others_served(context):
     for raw in context.others:
         assert raw.startswith(b"HTTP/1.1 200 ") and raw.endswith(b"0\r\n\r\n"), raw
 
 
-@when("a plain request ends each endpoint that runs it, at one node")
+@when("a plain request crashes each endpoint that runs it, at one node")
 def plain_ends(context):
     context.arrivals = arrivals = Arrivals()
     servers = [CrashingServer(f"w{index}", "web", None, arrivals) for index in range(4)]
@@ -100,7 +100,7 @@
     on_platform(servers, play)
 
 
-@then("later tries of it reach none, and other requests of the route are served")
+@then("later attempts reach no endpoint, and other requests of the route are served")
 def plain_refused(context):
     assert len(context.arrivals.sends_s) == context.before, context.arrivals
     assert len(context.arrivals.ends_s) in (3, 4), context.arrivals
@@ -108,7 +108,7 @@
     assert context.served.startswith(b"HTTP/1.1 200 "), context.served
 
 
-@when("a stream that is passed on as it comes ends four endpoints after its first event")
+@when("a relayed stream crashes four endpoints after its first event")
 def ends_begun(context):
     context.most_ends = 3
     context.arrivals = arrivals = Arrivals()
@@ -127,7 +127,7 @@
     on_platform(servers, play)
 
 
-@when("a prompt ends each of four engines that read it")
+@when("a prompt crashes each of four engines that prefill it")
 def ends_reading(context):
     # The next reader may begin before the end of the one before is shown.
     context.most_ends = 4
@@ -150,13 +150,13 @@
     on_platform([*decoders, *readers], play)
 
 
-@then("no further one ends by it")
+@then("no further endpoint crashes")
 def no_further_end(context):
     assert 3 <= len(context.arrivals.ends_s) <= context.most_ends, context.arrivals
     assert context.raw.startswith(b"HTTP/1.1 500 "), context.raw
 
 
-@when("one content gets five broken answers from endpoints that stay")
+@when("one content gets five broken answers from endpoints that keep running")
 def broken_answers(context):
     servers = engines()
 
@@ -175,13 +175,13 @@
     on_platform(servers, play)
 
 
-@then("it is sent on as before")
+@then("it is sent to endpoints as before")
 def sent_on(context):
     assert context.runs == 5, context.runs
     assert context.raw.startswith(b"HTTP/1.1 200 "), context.raw
 
 
-@when("a content is quarantined, and then all nodes start again")
+@when("a content is quarantined, and then all nodes restart")
 def all_start_again(context):
     context.arrivals = arrivals = Arrivals()
     servers = engines_that_end(arrivals)
@@ -224,7 +224,7 @@
     assert all(raw.startswith(b"HTTP/1.1 500 ") for raw in context.raw), context.raw
 
 
-@then("a record that can't be read is told and quarantines nothing")
+@then("an unreadable record is ignored and quarantines nothing")
 def odd_records(context):
     odd = (b"", b"\xff", b"[]", b"null", b'{"ended": 3}', b'{"ended": [1]}', b"{}", None)
     objects = tuple(StoredObject(f"c{number}", at(1), data) for number, data in enumerate(odd))
@@ -274,7 +274,7 @@
     ]
 
 
-@then("a generation and a plain request are tried at one endpoint, and refused when that ends")
+@then("a generation and a plain request are tried at one endpoint, and refused after it crashes")
 def tried_in_vain(context):
     for seen in trials(mended=False):
         first, *later = seen["raw"]
@@ -283,7 +283,7 @@
         assert all(b"ends-endpoints" in raw for raw in later), seen
 
 
-@then("both are served for good once their endpoints bear them")
+@then("both are served once their endpoints are fixed")
 def tried_well(context):
     for seen in trials(mended=True):
         assert seen["ends"] == 0, seen
--- a/saffronworks/tests/features/steps/suspicion_fleet_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_fleet_steps.py
@@ -13,18 +13,18 @@
 PLAYED_MS = 15_000
 
 
-@given("{nodes:d} nodes that live, {dead:d} that do not, and {lost:d} of 100 messages lost")
+@given("{nodes:d} live nodes, {dead:d} dead nodes, and {lost:d} of 100 messages lost")
 def fleet_of(context, nodes, dead, lost):
     context.fleets = [Fleet(nodes, seed, lost / 100, dead) for seed in SEEDS]
 
 
-@when("a deadly content comes every {every:d} ms at random nodes, with ten seeds")
+@when("a crashing content arrives every {every:d} ms at random nodes, with ten seeds")
 def comes(context, every):
     for fleet in context.fleets:
         fleet.repeat(every, PLAYED_MS)
 
 
-@then("all nodes refuse it within {within:d} ms of the third end, and none sends it later")
+@then("all nodes refuse it within {within:d} ms of the third crash, and none sends it later")
 def refused_in_time(context, within):
     for fleet in context.fleets:
         while len(fleet.ends) < ENDS_TO_QUARANTINE:
@@ -35,7 +35,7 @@
         assert not fleet.late_sends(within), fleet.late_sends(within)
 
 
-@then("each of two hundred that live knows it within three seconds")
+@then("each of two hundred live nodes refuses the content within three seconds")
 def half_gone(context):
     for seed in SEEDS:
         fleet = Fleet(200, seed, dead=200)
@@ -46,7 +46,7 @@
         assert fleet.refusing() == 200, (seed, fleet.refusing())
 
 
-@then("a node that was cut off refuses it within three seconds of its return")
+@then("a node that was partitioned refuses the content within three seconds of its return")
 def returns(context):
     for seed in SEEDS:
         fleet = Fleet(7, seed)
@@ -62,7 +62,7 @@
         assert fleet.refusing() == 7, (seed, cut)
 
 
-@then("so does one that starts again, while no other way is there but the store")
+@then("so does a restarted node that reaches only the store")
 def starts_again(context):
     fleet = quarantined_fleet()
     name = fleet.names[0]
@@ -73,7 +73,7 @@
     assert fleet.nodes[name].state.admission(CRASHING, fleet.now_ms) is Admission.REFUSED
 
 
-@then("so do all nodes when all have started again")
+@then("so do all nodes after all have restarted")
 def all_again(context):
     fleet = quarantined_fleet()
     sends = len(fleet.sends)
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -57,7 +57,7 @@
 DAY_MS = 24 * 3_600_000
 
 
-@then("without a suspicion nothing is worked out or told")
+@then("without a suspicion nothing is computed or sent")
 def idle(context):
     state = QuarantineState("n1", random.Random(1))
     state.update_nodes(["n1", "n2"])
@@ -65,7 +65,7 @@
     assert not step(state, events.RunSucceeded(CRASHING), 1000) and state.idle
 
 
-@then("a fleet that knows of a content tells it five times a second and node at most")
+@then("a fleet with a quarantined content sends fewer than five messages per second and node")
 def tells_little(context):
     fleet = quarantined_fleet(85)
     assert fleet.messages / 85 / 10 < 10, "while it is new"
@@ -79,7 +79,9 @@
     return told.news
 
 
-@then("thousands of suspects leave the table and messages bounded, the quarantined ones in it")
+@then(
+    "with thousands of suspicions the table and messages stay bounded and keep quarantined contents"
+)
 def bounded_table(context):
     state = QuarantineState("n1", random.Random(1))
     state.update_nodes([f"n{number}" for number in range(1, 8)])
@@ -119,7 +121,7 @@
         assert instance in state.table.find(content).ended
 
 
-@then("two refused connections, a later start, or silence and no entry show an end")
+@then("two refused connections, a restart, or silence without an entry prove a crash")
 def shows_end(context):
     instance = endpoint_at(1).instance
     for found, shows in (
@@ -150,14 +152,14 @@
         assert not step(alone(), broke(cause=cause), 0), cause
 
 
-@then("an endpoint that leaves as planned blames nobody")
+@then("an endpoint that leaves as planned causes no suspicion")
 def planned(context):
     for cause in BreakCause:
         state = alone()
         assert not step(state, broke(cause=cause, leaving=True), 0) and state.idle
 
 
-@then("an endpoint that was only asked for memory, or got no byte, has worked on nothing")
+@then("an endpoint that only reserved memory, or received no byte, causes no suspicion")
 def worked_on(context):
     request = CallerRequest("r", "POST", "/a", "h", (), b"", 0, 900)
     for kind, sent, noted in (
@@ -188,7 +190,7 @@
         assert node.quarantine.record_failure.called is noted, (kind, sent)
 
 
-@then("one look serves all runs that broke together")
+@then("runs that broke together share one probe")
 def one_look(context):
     state = alone()
     commands = [step(state, broke(f"c{number}"), 0) for number in range(64)]
@@ -198,7 +200,7 @@
     assert len(state.table) == 64
 
 
-@then("a good run clears a content for all nodes, before it is quarantined and after")
+@then("a successful run clears a content at all nodes, before and after its quarantine")
 def good_run(context):
     early = alone()
     ended(early, CRASHING, 1, 2)
@@ -212,7 +214,7 @@
     assert fleet.refusing() == 0 and CRASHING not in fleet.stored
 
 
-@then("an answer that ends by a close is no good run, as an endpoint's end closes too")
+@then("an answer that ends with a closed connection is no success, as a crash closes it too")
 def unframed(context):
     request = CallerRequest("r", "POST", "/a", "h", (), b"", 0, 900)
     quarantine = Quarantine(
@@ -225,7 +227,7 @@
     assert not quarantine.blocks(request)
 
 
-@then("a node that missed the good run hears of it when it tells what it knows")
+@then("a node that missed the successful run is informed when it sends its own view")
 def missed_run(context):
     fleet = quarantined_fleet()
     missed = fleet.names[5]
@@ -238,7 +240,9 @@
     assert fleet.refusing() == 0
 
 
-@then("of the requests beside a deadly content few are quarantined, and those have a trial soon")
+@then(
+    "few requests that ran beside a crashing content are quarantined, and those have an early trial"
+)
 def requests_beside(context):
     often, seldom = Habits(), Habits(most_runs=3, comes_every_ms=1000)
     for habits, count, runs_each, most_of_100 in (
@@ -262,7 +266,7 @@
     assert state.admission("beside", EARLY_TRIAL_AFTER_MS) is Admission.TRIAL
 
 
-@then("a owner lets it through once after ten minutes, to one endpoint, and no other node does")
+@then("only an owner admits it, once after ten minutes, to one endpoint")
 def one_trial(context):
     fleet = quarantined_fleet()
     fleet.run(TRIAL_AFTER_MS + 10_000)
@@ -279,7 +283,7 @@
     return Suspicion(CRASHING, ("e1@1", "e2@2", "e3@3", "e4@4"), trials=1, age_ms=age_ms)
 
 
-@then("while endpoints end for a cause of their own, contents have a trial every ten minutes")
+@then("while endpoints crash for another cause, contents have a trial every ten minutes")
 def failing_release(context):
     state, rng = alone(), random.Random(5)
     state.update_nodes(["n1"])
@@ -306,7 +310,7 @@
             ended(state, CRASHING, 51, now_ms=now_ms)
 
 
-@then("a good run frees it, and another end settles it")
+@then("a success ends the quarantine, and a further crash confirms it")
 def after_trial(context):
     for node in context.fleet.nodes.values():
         assert node.state.admission(CRASHING, DAY_MS - 60_000) is Admission.REFUSED
@@ -340,7 +344,7 @@
 )
 
 
-@then("whatever the order and however often, the same is known in the end")
+@then("the result is the same in any order and with repetitions")
 def any_order(context):
     @limits(max_examples=300)
     @forall(st.lists(VIEWS, max_size=8), st.randoms(use_true_random=False))
@@ -380,7 +384,7 @@
 ]
 
 
-@then("whatever happened to a generation, once it is quarantined it ends")
+@then("a generation ends once its content is quarantined, whatever the last event")
 def generation_ends(context):
     refusals = 0
     for event in GENERATION_EVENTS:
