--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -44,22 +44,22 @@
 
 
 TROUBLES = {
-    "nothing occurs": lambda fleet, name: None,
-    "one holder ends": lambda fleet, name: fleet.kill(fleet.holders(name)[:1], 2000),
-    "all holders end": lambda fleet, name: fleet.kill(fleet.holders(name), 2000),
-    "half of the nodes end": lambda fleet, name: fleet.kill(half(fleet), 2000),
-    "a holder stands still": lambda fleet, name: fleet.freeze(fleet.holders(name)[:1], 3000),
-    "a third hears only itself": lambda fleet, name: fleet.cut([third(fleet)], TROUBLE_MS),
-    "the halves hear only themselves": lambda fleet, name: fleet.cut([half(fleet)], TROUBLE_MS),
-    "a third of them hear nobody": lambda fleet, name: fleet.cut(
+    "no fault occurs": lambda fleet, name: None,
+    "one holder crashes": lambda fleet, name: fleet.kill(fleet.holders(name)[:1], 2000),
+    "all holders crash": lambda fleet, name: fleet.kill(fleet.holders(name), 2000),
+    "half of the nodes crash": lambda fleet, name: fleet.kill(half(fleet), 2000),
+    "one holder freezes": lambda fleet, name: fleet.freeze(fleet.holders(name)[:1], 3000),
+    "a third is partitioned off": lambda fleet, name: fleet.cut([third(fleet)], TROUBLE_MS),
+    "the halves are partitioned": lambda fleet, name: fleet.cut([half(fleet)], TROUBLE_MS),
+    "a third is isolated": lambda fleet, name: fleet.cut(
         [[node] for node in third(fleet)], TROUBLE_MS
     ),
 }
 
 
 @when(
-    "the largest asks for {times:f} times its usual "
-    "while {count:d} of its holders leave within {within_s:d} s"
+    "the largest sends {times:f} times its usual rate while {count:d} of its holders leave "
+    "within {within_s:d} s"
 )
 def holders_leave(context, times, count, within_s):
     for fleet in context.fleets:
@@ -71,8 +71,8 @@
 
 
 @when(
-    "the largest asks for {times:f} times its usual "
-    "while {count:d} of its holders is away, known within {within_s:d} s"
+    "the largest sends {times:f} times its usual rate while {count:d} of its holders is "
+    "away, noticed within {within_s:d} s"
 )
 def holder_away(context, times, count, within_s):
     for fleet in context.fleets:
@@ -95,12 +95,12 @@
             )
 
 
-@given("a quota fleet of {nodes:d} nodes")
+@given("a simulated fleet of {nodes:d} nodes")
 def fleet_of(context, nodes):
     context.fleets = [QuotaFleet(count=nodes, seed=seed) for seed in SEEDS]
 
 
-@when("{organisation} asks for {times:f} times its usual while {trouble}")
+@when("{organisation} sends {times:f} times its usual rate while {trouble}")
 def asks_hot(context, organisation, times, trouble):
     name = ORGANISATIONS[organisation]
     for fleet in context.fleets:
@@ -111,20 +111,20 @@
         fleet.play(AFTER_MS)
 
 
-@then("in no window more runs than is tolerated, with four seeds")
+@then("in no window does more run than is tolerated, with four seeds")
 def within_bound(context):
     shares = [fleet.outcome.worst_window(fleet.limits) for fleet in context.fleets]
     assert max(shares) <= 1.0, shares
 
 
-@then("{refused:d} in 1,000 requests of organisations within their quota are refused at most")
+@then("at most {refused:d} in 1,000 requests of organisations within their quota are refused")
 def refused_within(context, refused):
     wrongly = sum(fleet.outcome.refused_within for fleet in context.fleets)
     asked = sum(fleet.outcome.asked for fleet in context.fleets)
     assert wrongly <= refused * asked / 1000, (wrongly, asked)
 
 
-@then("whatever nodes end, stand still or hear nobody, no window goes beyond what is tolerated")
+@then("no window exceeds the tolerance, whatever nodes crash, freeze or are partitioned")
 def any_troubles(context):
     trouble = st.tuples(
         st.integers(500, 9000),
@@ -151,7 +151,7 @@
     holds()
 
 
-@when("the quota of an organisation that asks for too much is cut to a third")
+@when("the quota of an organisation above its limit is cut to a third")
 def cut_quota(context):
     fleet = context.fleet = QuotaFleet(seed=1)
     fleet.factors["org0"] = 7.5
@@ -178,7 +178,7 @@
     assert ran_per_s(fleet, context.from_ms) >= 0.95 * per_s * 10 / 11
 
 
-@then("when it is raised the organisation gets that at once")
+@then("when the quota is raised again the organisation gets it at once")
 def raised(context):
     fleet = context.fleet
     fleet.limits["org0"] = Limit(*(3 * part for part in attrs.astuple(fleet.limits["org0"])))
@@ -188,7 +188,7 @@
     assert ran_per_s(fleet, from_ms) >= 0.95 * fleet.limits["org0"].per_s * 5 / 6
 
 
-@when("half of the requests that are admitted are not run")
+@when("half of the admitted requests are not run")
 def half_not_run(context):
     fleet = context.fleet = QuotaFleet(seed=1)
     fleet.not_run_share = 0.5
@@ -197,7 +197,7 @@
     fleet.play(15_000)
 
 
-@then("an organisation gets twice as many admitted, and none beyond its quota runs")
+@then("twice as many requests are admitted, and no more than the quota runs")
 def twice_admitted(context):
     outcome, limit = context.fleet.outcome, context.fleet.limits
     assert outcome.worst_window(limit) <= 1.0
@@ -220,7 +220,7 @@
     assert holder.buckets["o"].level == 50
 
 
-@then("what was not run is given back once")
+@then("a request that did not run is refunded once")
 def given_back_once(context):
     holder = holder_since_long()
     for number in (1, 2, 3):
@@ -231,7 +231,10 @@
     assert holder.buckets["o"].level == 100
 
 
-@then("a node that has counted fewer than three divides a quota by three until all know that")
+@then(
+    "a node that counts fewer than three nodes divides a quota by three until all views have "
+    "settled"
+)
 def divides_by_three(context):
     ring = HolderRing()
     assert ring.shares(0) == 3
@@ -248,7 +251,7 @@
     assert len(ring._earlier) <= 9, "views that are long over are forgotten"
 
 
-@then("it asks the third one as soon as it counts it")
+@then("it asks the third node as soon as it counts it")
 def asks_third(context):
     ring = HolderRing()
     ring.update(["a", "b"], 1000)
@@ -256,7 +259,7 @@
     assert sorted(ring.active_holders("o", 1001 + 2 * ESTABLISHED_VIEW_MS)) == ["a", "b", "c"]
 
 
-@then("one that has divided a quota by two asks a new third one only later")
+@then("a node that has divided a quota by two asks a new third node only later")
 def asks_third_later(context):
     ring, joined_ms = HolderRing(), 1000 + SETTLED_MS
     ring.update(["a", "b"], 1000)
@@ -265,7 +268,7 @@
     assert sorted(ring.active_holders("o", joined_ms + NEW_HOLDER_DELAY_MS)) == ["a", "b", "c"]
 
 
-@then("the holder is passed over as after one, and longer only after it was asked again")
+@then("the holder is skipped as after one timeout, and for longer only after it was asked again")
 def passed_over_once(context):
     choice = NodeChoice()
     for now_ms in (1000, 1001, 1030):
@@ -278,7 +281,7 @@
     assert not choice.passes_over("h", asked_ms + 2 * NODE_AVOID_MS)
 
 
-@then("each change is told once, when a request is refused and when half of the share is free")
+@then("each change is reported once, when a request is refused and when half of the share is free")
 def changes_told(context):
     holder, told = holder_since_long(), []
     for number in range(200):
@@ -291,7 +294,7 @@
     assert told == [True, False], told
 
 
-@then("a holder forgets organisations that owe nothing, and requests that are long over")
+@then("a holder drops empty buckets and old requests")
 def forgets(context):
     holder = holder_since_long()
     for number in range(2 * MAX_COUNTED_ASKS):
@@ -304,7 +307,7 @@
     assert len(holder.buckets) == 1, len(holder.buckets)
 
 
-@then("a node alone forgets organisations that are gone")
+@then("a node drops the allowances of removed organisations")
 def alone_forgets(context):
     allowances = Allowances(TOLERANCE, 60)
     for number in range(100):
@@ -313,7 +316,7 @@
     assert len(allowances._credits) == 1
 
 
-@then("each is told a later time, at the pace of the quota")
+@then("each gets a later retry time, at the rate of the quota")
 def one_after_the_other(context):
     holder = holder_since_long()
     answers = [step(holder, ask_of(number), LIMIT, 0)[0] for number in range(16)]
@@ -322,7 +325,7 @@
     assert told == [500 * turn for turn in range(1, 11)], told
 
 
-@then("what such nodes admit stays within their parts in the mean")
+@then("on average such nodes admit no more than their parts")
 def parts_in_the_mean(context):
     nodes, limit = 60, Limit(110_000, 110_000)
     part = NO_HOLDER_SHARE * TOLERANCE.spare(limit) / nodes
--- a/saffronworks/tests/features/steps/quotas_steps.py
+++ b/saffronworks/tests/features/steps/quotas_steps.py
@@ -42,7 +42,7 @@
     return sum(one.level for one in held if one is not None)
 
 
-@when("an organisation asks for four times its burst at two nodes in turn")
+@when("an organisation sends four times its burst to two nodes in turn")
 def asks_too_much(context):
     context.servers_used = web_servers()
 
@@ -60,7 +60,7 @@
     on_platform(context.servers_used, play, config=WITH_QUOTAS, count=2)
 
 
-@when("an organisation asks for four times its burst, each time under the same id")
+@when("an organisation sends four times its burst under the same id")
 def same_id(context):
     context.servers_used = web_servers()
 
@@ -73,13 +73,13 @@
     on_platform(context.servers_used, play, config=WITH_QUOTAS)
 
 
-@then("endpoints run no more than its quota allows, with all that is tolerated beyond")
+@then("endpoints run no more than its quota and the tolerance allow")
 def no_more(context):
     ran = [r for r in context.servers_used[0].ran if r.startswith("r")]
     assert BURST - 1 <= len(ran) <= PER_S * WINDOW_S + BURST + context.spare, len(ran)
 
 
-@then("the rest is told 429 with a time to return, and other organisations are served")
+@then("the rest gets 429 with a retry time, and other organisations are served")
 def the_rest(context):
     statuses = [status(raw) for raw in context.raws]
     refused = [raw for raw in context.raws if status(raw) != 200]
@@ -88,7 +88,7 @@
     assert [status(raw) for raw in context.others] == [200] * len(context.others)
 
 
-@when("an endpoint that is full turns away requests of an organisation with a small quota")
+@when("a full endpoint rejects requests of an organisation with a small quota")
 def turned_away(context):
     servers = web_servers()
     servers[0].script = ["shed"] * BURST
@@ -133,7 +133,7 @@
     assert 1.5 < context.counted <= 2, context.counted
 
 
-@then("no holder is asked of their requests")
+@then("no holder is asked about their requests")
 def none_asked(context):
     async def play(place):
         for path, fields in (("/open/", {}), ("/once/", {"Key": FREE_KEY})):
