--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -48,7 +48,7 @@
     check_plays(play_generation, GENERATION_TURNS)
 
 
-@then("a bar that promises it is not passed on once an endpoint may have run the request")
+@then("a bar's promise is dropped once an endpoint may have run the request")
 def barred_behind_run(context):
     state, budget, bar = (
         plain.PlainState("s", True, 3, 300, 3000),
@@ -62,7 +62,7 @@
     assert end == Refuse(502, "b", not_run=False), end
 
 
-@then("an answer whose field says that it was executed is no statement that it was not")
+@then("an answer whose not-executed field is false promises nothing")
 def denied(context):
     for values in (["0"], ["false"], [" No "], ["1", "0"]):
         raw = RawHead(503, [("Not-Executed", value) for value in values])
