--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what nodes know of contents that end endpoints; no network, no clock."""
+"""Steps on the quarantine state of nodes, without network or clock."""
 
 import random
 from unittest.mock import Mock
@@ -74,7 +74,7 @@
     assert 0 < (fleet.messages - before) / 85 / 10 < 5, fleet.messages
 
 
-def tell_at(state, now_ms):
+def message_at(state, now_ms):
     (told,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
     return told.news
 
@@ -96,9 +96,9 @@
     last_ms = 100 + 3 * MAX_SUSPICIONS
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
     assert Admission.ALLOWED not in judged
-    told = tell_at(state, last_ms)
+    told = message_at(state, last_ms)
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
-    told = tell_at(state, last_ms + RECENT_CHANGE_MS + 1)
+    told = message_at(state, last_ms + RECENT_CHANGE_MS + 1)
     most_bytes_s = len(codec.encode(told)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
     assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
         most_bytes_s
@@ -109,12 +109,12 @@
     return events.RunFailed(content, endpoint_at(number), cause, **changes)
 
 
-def alone():
+def new_state():
     return QuarantineState("n1", random.Random(1))
 
 
-def ended(state, content, *numbers, now_ms=0):
-    """Let endpoints end under a content, as this node sees it."""
+def record_ends(state, content, *numbers, now_ms=0):
+    """Let a node record ends of endpoints while they run a content."""
     for number in numbers:
         instance = endpoint_at(number).instance
         step(state, broke(content, number, BreakCause.RESTARTED), now_ms)
@@ -135,7 +135,7 @@
         ((ProbeResult.SILENT, ProbeResult.SILENT, ProbeResult.GONE), True),
         ((ProbeResult.SILENT, ProbeResult.REFUSES, ProbeResult.REFUSES), True),
     ):
-        state = alone()
+        state = new_state()
         assert step(state, broke(), 0) == [events.Probe(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
             commands = step(state, events.ProbeFinished(instance, seen), 300)
@@ -149,13 +149,13 @@
         assert (state.table.find(CRASHING) is not None) is shows, found
         assert not state.probes
     for cause in (BreakCause.CONNECT, BreakCause.NOT_HTTP, BreakCause.OUT_OF_ORDER):
-        assert not step(alone(), broke(cause=cause), 0), cause
+        assert not step(new_state(), broke(cause=cause), 0), cause
 
 
 @then("an endpoint that leaves as planned causes no suspicion")
 def planned(context):
     for cause in BreakCause:
-        state = alone()
+        state = new_state()
         assert not step(state, broke(cause=cause, leaving=True), 0) and state.idle
 
 
@@ -192,7 +192,7 @@
 
 @then("runs that broke together share one probe")
 def one_look(context):
-    state = alone()
+    state = new_state()
     commands = [step(state, broke(f"c{number}"), 0) for number in range(64)]
     assert sum(map(len, commands)) == 1
     for _ in range(2):
@@ -202,10 +202,10 @@
 
 @then("a successful run clears a content at all nodes, before and after its quarantine")
 def good_run(context):
-    early = alone()
-    ended(early, CRASHING, 1, 2)
+    early = new_state()
+    record_ends(early, CRASHING, 1, 2)
     step(early, events.RunSucceeded(CRASHING), 10)
-    ended(early, CRASHING, 3, 4)
+    record_ends(early, CRASHING, 3, 4)
     assert early.admission(CRASHING, 20) is Admission.ALLOWED
     fleet = quarantined_fleet()
     assert fleet.refusing() == 7 and CRASHING in fleet.stored
@@ -220,7 +220,7 @@
     quarantine = Quarantine(
         "n1", Directory(), Mock(), Mock(), random.Random(1), StoreEpoch(), lambda: 10
     )
-    ended(quarantine._state, request.content, 1, 2, 3)
+    record_ends(quarantine._state, request.content, 1, 2, 3)
     quarantine.record_success(request, framed=False)
     assert quarantine.blocks(request)
     quarantine.record_success(request, framed=True)
@@ -258,10 +258,10 @@
         wrongly = sum(one.quarantined for one in played)
         assert broken > 50 and all(one.ends >= ENDS_TO_QUARANTINE for one in played), played
         assert 100 * wrongly <= most_of_100 * broken, (habits, count, runs_each, broken, wrongly)
-    state = alone()
+    state = new_state()
     state.update_nodes(["n1"])
     for content in ("beside", CRASHING):
-        ended(state, content, 1, 2, 3)
+        record_ends(state, content, 1, 2, 3)
     assert state.admission("beside", EARLY_TRIAL_AFTER_MS - 1) is Admission.REFUSED
     assert state.admission("beside", EARLY_TRIAL_AFTER_MS) is Admission.TRIAL
 
@@ -285,12 +285,12 @@
 
 @then("while endpoints crash for another cause, contents have a trial every ten minutes")
 def failing_release(context):
-    state, rng = alone(), random.Random(5)
+    state, rng = new_state(), random.Random(5)
     state.update_nodes(["n1"])
     contents = [f"c{number}" for number in range(60)]
     for content in contents:
-        ended(state, content, *rng.sample(range(1, 13), 3))
-    ended(state, CRASHING, 1, 2, 50)
+        record_ends(state, content, *rng.sample(range(1, 13), 3))
+    record_ends(state, CRASHING, 1, 2, 50)
     now_ms = EARLY_TRIAL_AFTER_MS
     for _ in range(3):
         admissions = {state.admission(content, now_ms) for content in contents}
@@ -298,16 +298,16 @@
         assert state.admission(CRASHING, now_ms) is Admission.REFUSED
         for content in contents:
             step(state, events.TrialStarted(content), now_ms)
-            ended(state, content, rng.randint(1, 12), now_ms=now_ms)
+            record_ends(state, content, rng.randint(1, 12), now_ms=now_ms)
         admissions = {
             state.admission(content, now_ms + EARLY_TRIAL_AFTER_MS) for content in contents
         }
         assert admissions == {Admission.REFUSED}, admissions
         now_ms += TRIAL_AFTER_MS
-        # Had its own trial meanwhile, and ended one more.
+        # The crashing content has its own trial meanwhile, and crashes one more endpoint.
         if state.admission(CRASHING, now_ms) is Admission.TRIAL:
             step(state, events.TrialStarted(CRASHING), now_ms)
-            ended(state, CRASHING, 51, now_ms=now_ms)
+            record_ends(state, CRASHING, 51, now_ms=now_ms)
 
 
 @then("a success ends the quarantine, and a further crash confirms it")
@@ -315,17 +315,17 @@
     for node in context.fleet.nodes.values():
         assert node.state.admission(CRASHING, DAY_MS - 60_000) is Admission.REFUSED
         step(node.state, events.Tick(), 2 * DAY_MS)
-        assert node.state.idle, "what callers have long given up is forgotten"
-    told = alone()
+        assert node.state.idle, "a quarantine expires after a day"
+    told = new_state()
     step(told, SuspicionNews("n2", (old_view(DAY_MS),)), 10)
-    assert told.idle, "nor does it come back by a node that has not forgotten it yet"
+    assert told.idle, "an expired quarantine does not return by gossip of another node"
     step(told, SuspicionNews("n2", (old_view(DAY_MS - 60_000),)), 10)
     assert told.admission(CRASHING, 50_000) is Admission.REFUSED
     step(told, events.Tick(), 70_000)
-    assert told.idle, "who hears of it counts on from there"
-    freed = alone()
+    assert told.idle, "a receiver continues from the sender's age"
+    freed = new_state()
     freed.update_nodes(["n1"])
-    ended(freed, CRASHING, 1, 2, 3)
+    record_ends(freed, CRASHING, 1, 2, 3)
     assert freed.admission(CRASHING, TRIAL_AFTER_MS) is Admission.TRIAL
     step(freed, events.TrialStarted(CRASHING), TRIAL_AFTER_MS)
     assert freed.admission(CRASHING, TRIAL_AFTER_MS + 1) is Admission.REFUSED
