--- a/saffronworks/tests/features/steps/suspicion_fleet_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on how a fleet comes to know of a content that ends endpoints; no network, no clock."""
+"""Steps on how a quarantine spreads through a simulated fleet, without network or clock."""
 
 from behave import given, then, when
 
