--- a/saffronworks/tests/features/steps/quarantine_steps.py
+++ b/saffronworks/tests/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on a content that ends the endpoints that run it, on the whole path over loopback."""
+"""Steps on a content that crashes endpoints, on the whole path over loopback."""
 
 import time
 from unittest.mock import AsyncMock, Mock
@@ -17,16 +17,16 @@
 from saffronworks.tests.platform_place import engines, on_platform
 from saffronworks.tests.revisions import at
 
-# Within which all nodes have to know what a content did (`contact_ms`).
+# Time within which all nodes must quarantine the content (`contact_ms`).
 CONTACT_S = 3.0
 ASKED_FOR_S = CONTACT_S + 3.0
 PAUSE_S = 0.15
-MOST_TRIES = 20
-# A caller who is refused gets its answer within this.
-AT_ONCE_S = 0.3
+MAX_ATTEMPTS = 20
+# A refused caller gets its answer within this.
+MAX_REFUSAL_S = 0.3
 
 
-def engines_that_end(arrivals, count=4):
+def crashing_engines(arrivals, count=4):
     decoders = [CrashingServer(f"d{index}", "llm", "decode", arrivals) for index in range(count)]
     return [*decoders, FakeServer("p0", "llm", "prefill")]
 
@@ -39,7 +39,7 @@
 @when("a content that crashes each engine which runs it is sent to two nodes in turn")
 def asked_again(context):
     context.arrivals = arrivals = Arrivals()
-    servers = engines_that_end(arrivals)
+    servers = crashing_engines(arrivals)
     context.late = []
 
     async def play(place):
@@ -70,7 +70,7 @@
 def told_at_once(context):
     assert len(context.late) > 5, context.late
     for took_s, raw in context.late[3:]:
-        assert took_s < AT_ONCE_S, took_s
+        assert took_s < MAX_REFUSAL_S, took_s
         assert raw.startswith(b"HTTP/1.1 500 ") and b"retry-after" not in raw.lower(), raw
         assert b"ends-endpoints" in raw, raw
 
@@ -110,15 +110,15 @@
 
 @when("a relayed stream crashes four endpoints after its first event")
 def ends_begun(context):
-    context.most_ends = 3
+    context.max_crashes = 3
     context.arrivals = arrivals = Arrivals()
-    servers = engines_that_end(arrivals)
+    servers = crashing_engines(arrivals)
     for server in servers[:-1]:
         server.head_first = True
 
     async def play(place):
         join_store(servers, place.store)
-        # Without the size of its prompt a request gets no memory, and goes the way of plain ones.
+        # Without a prompt size a request reserves no memory and is relayed as a plain one.
         for number in range(9):
             raw = await place.ask("/gen/", f"r{number}", body=CRASHING)
             await anyio.sleep(0.4)
@@ -129,13 +129,13 @@
 
 @when("a prompt crashes each of four engines that prefill it")
 def ends_reading(context):
-    # The next reader may begin before the end of the one before is shown.
-    context.most_ends = 4
+    # The next engine may start the prefill before the crash of the one before is detected.
+    context.max_crashes = 4
     context.arrivals = arrivals = Arrivals()
     readers = [CrashingServer(f"p{index}", "llm", "prefill", arrivals) for index in range(4)]
     for reader in readers:
         reader.ends_reading = True
-    # Decode endpoints read prompts themselves where readers fail: these never begin.
+    # Decode engines would run the prefill when prefill engines fail; these reject all requests.
     decoders = [FakeServer(f"d{index}", "llm", "decode") for index in range(2)]
     for decoder in decoders:
         decoder.script = ["shed"] * 100
@@ -152,7 +152,7 @@
 
 @then("no further endpoint crashes")
 def no_further_end(context):
-    assert 3 <= len(context.arrivals.ends_s) <= context.most_ends, context.arrivals
+    assert 3 <= len(context.arrivals.ends_s) <= context.max_crashes, context.arrivals
     assert context.raw.startswith(b"HTTP/1.1 500 "), context.raw
 
 
@@ -165,7 +165,7 @@
             server.script = ["break-2"] * 5
         for number in range(5):
             await place.generate("/gen/", f"g{number}")
-            # So that no shunned endpoint keeps the next one from being sent.
+            # Failed endpoints are avoided for a moment; wait until the next request can be sent.
             await anyio.sleep(0.3)
         context.runs = sum(len(server.ran) for server in servers)
         for server in servers[:2]:
@@ -184,11 +184,11 @@
 @when("a content is quarantined, and then all nodes restart")
 def all_start_again(context):
     context.arrivals = arrivals = Arrivals()
-    servers = engines_that_end(arrivals)
+    servers = crashing_engines(arrivals)
 
     async def first_life(place):
         join_store(servers, place.store)
-        for number in range(MOST_TRIES):
+        for number in range(MAX_ATTEMPTS):
             await place.generate("/res/", f"g{number}", body=CRASHING)
             await anyio.sleep(PAUSE_S)
             if any(kind == QUARANTINE_KIND for kind, _ in place.store.objects):
@@ -201,13 +201,13 @@
 
     on_platform(servers, first_life)
     context.before = len(arrivals.sends_s)
-    servers = engines_that_end(arrivals)
+    servers = crashing_engines(arrivals)
 
     async def second_life(place):
         join_store(servers, place.store)
         for name, spec in context.records.items():
             place.store.put(QUARANTINE_KIND, name, spec)
-        # The records are read again a few seconds after a start.
+        # A node reads the records again a few seconds after its start.
         await anyio.sleep(4.5)
         context.raw = [
             await place.generate("/res/", f"h{number}", body=CRASHING, node=node)
@@ -235,7 +235,7 @@
 
 
 def try_again(path, servers, mended):
-    """Have a content quarantined, let its trial come due; answers then, and ends by them."""
+    """Quarantine a content, let its trial become due, and return the answers and crashes then."""
     arrivals = servers[0].arrivals
     seen = {}
 
@@ -245,13 +245,13 @@
         async def ask(request_id):
             counts = {"Token-Counts": "5000,9000", "Length-Hint": "3000"}
             raw = await place.ask(path, request_id, counts, CRASHING)
-            # Long enough for an end to be shown.
+            # Long enough to detect a crash.
             await anyio.sleep(0.5)
             return raw
 
         for number in range(4):
             await ask(f"r{number}")
-        # Its endpoints are back, and no connection to one that ended is tried any more.
+        # By now the endpoints have restarted, and stale connections to them are closed.
         await anyio.sleep(1)
         before = len(arrivals.ends_s)
         for server in servers:
@@ -269,7 +269,7 @@
     plains, engines_ = Arrivals(), Arrivals()
     webs = [CrashingServer(f"w{index}", "web", None, plains) for index in range(4)]
     return [
-        try_again("/res/", engines_that_end(engines_), mended),
+        try_again("/res/", crashing_engines(engines_), mended),
         try_again("/again/a", webs, mended),
     ]
 
