--- a/saffronworks/tests/features/steps/quota_fleet_steps.py
+++ b/saffronworks/tests/features/steps/quota_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on quotas of many nodes, on virtual time."""
+"""Steps on quotas of many simulated nodes in virtual time."""
 
 import statistics
 
@@ -29,9 +29,9 @@
 
 SEEDS = range(1, 5)
 ORGANISATIONS = {"the largest": "org0", "a middle one": "org5"}
-# Calm, then the organisation runs hot, then the trouble comes.
+# Phases: usual load, then a high load of one organisation, then the fault.
 CALM_MS, HOT_MS, AFTER_MS = 3000, 3000, 9000
-TROUBLE_MS = 6000
+FAULT_MS = 6000
 LIMIT = Limit(100.0, 300.0)
 
 
@@ -43,16 +43,16 @@
     return fleet.rng.sample(fleet.names, len(fleet.names) // 2)
 
 
-TROUBLES = {
+FAULT_INJECTIONS = {
     "no fault occurs": lambda fleet, name: None,
     "one holder crashes": lambda fleet, name: fleet.kill(fleet.holders(name)[:1], 2000),
     "all holders crash": lambda fleet, name: fleet.kill(fleet.holders(name), 2000),
     "half of the nodes crash": lambda fleet, name: fleet.kill(half(fleet), 2000),
     "one holder freezes": lambda fleet, name: fleet.freeze(fleet.holders(name)[:1], 3000),
-    "a third is partitioned off": lambda fleet, name: fleet.cut([third(fleet)], TROUBLE_MS),
-    "the halves are partitioned": lambda fleet, name: fleet.cut([half(fleet)], TROUBLE_MS),
+    "a third is partitioned off": lambda fleet, name: fleet.cut([third(fleet)], FAULT_MS),
+    "the halves are partitioned": lambda fleet, name: fleet.cut([half(fleet)], FAULT_MS),
     "a third is isolated": lambda fleet, name: fleet.cut(
-        [[node] for node in third(fleet)], TROUBLE_MS
+        [[node] for node in third(fleet)], FAULT_MS
     ),
 }
 
@@ -100,14 +100,14 @@
     context.fleets = [QuotaFleet(count=nodes, seed=seed) for seed in SEEDS]
 
 
-@when("{organisation} sends {times:f} times its usual rate while {trouble}")
-def asks_hot(context, organisation, times, trouble):
+@when("{organisation} sends {times:f} times its usual rate while {fault}")
+def asks_hot(context, organisation, times, fault):
     name = ORGANISATIONS[organisation]
     for fleet in context.fleets:
         fleet.play(CALM_MS)
         fleet.factors[name] = times
         fleet.play(HOT_MS)
-        TROUBLES[trouble](fleet, name)
+        FAULT_INJECTIONS[fault](fleet, name)
         fleet.play(AFTER_MS)
 
 
@@ -125,8 +125,8 @@
 
 
 @then("no window exceeds the tolerance, whatever nodes crash, freeze or are partitioned")
-def any_troubles(context):
-    trouble = st.tuples(
+def any_faults(context):
+    fault = st.tuples(
         st.integers(500, 9000),
         st.sampled_from(FAULTS),
         st.floats(0.05, 0.6),
@@ -137,12 +137,12 @@
     @forall(
         st.integers(0, 10_000),
         st.sampled_from([8, 20, 60]),
-        st.lists(trouble, min_size=1, max_size=5),
+        st.lists(fault, min_size=1, max_size=5),
     )
-    def holds(seed, count, troubles):
+    def holds(seed, count, faults):
         fleet = QuotaFleet(count=count, seed=seed)
         fleet.factors["org0"] = 7.5
-        for at_ms, kind, share, for_ms in troubles:
+        for at_ms, kind, share, for_ms in faults:
             names = fleet.rng.sample(fleet.names, max(1, int(share * count)))
             fleet.at(at_ms, fleet.inject_fault, "org0", kind, names, for_ms)
         outcome = fleet.play(12_000)
@@ -184,7 +184,7 @@
     fleet.limits["org0"] = Limit(*(3 * part for part in attrs.astuple(fleet.limits["org0"])))
     from_ms = fleet.now_ms
     fleet.play(5000)
-    # The last second of a play is without requests.
+    # No requests arrive in the last second of a run.
     assert ran_per_s(fleet, from_ms) >= 0.95 * fleet.limits["org0"].per_s * 5 / 6
 
 
@@ -192,7 +192,7 @@
 def half_not_run(context):
     fleet = context.fleet = QuotaFleet(seed=1)
     fleet.not_run_share = 0.5
-    # Beyond the limit of 1.8, but only half of it runs.
+    # This is above the limit of 1.8, but only half of the requests run.
     fleet.factors["org0"] = 3.0
     fleet.play(15_000)
 
@@ -208,13 +208,13 @@
     return Ask(f"r{number}", name, cost, LIMIT, 1)
 
 
-def holder_since_long():
+def established_holder():
     return HolderState(attrs.evolve(TOLERANCE, slack=0, overage=0), -TOLERANCE.window_ms)
 
 
 @then("a request counts once, however often its holder is asked")
 def counts_once(context):
-    holder = holder_since_long()
+    holder = established_holder()
     for _ in range(5):
         assert step(holder, ask_of(1), LIMIT, 0)[0].admitted
     assert holder.buckets["o"].level == 50
@@ -222,7 +222,7 @@
 
 @then("a request that did not run is refunded once")
 def given_back_once(context):
-    holder = holder_since_long()
+    holder = established_holder()
     for number in (1, 2, 3):
         step(holder, ask_of(number), LIMIT, 0)
     for _ in range(3):
@@ -241,14 +241,14 @@
     ring.update(["a", "b", "c"], 1000)
     ring.update(["b"], 2000)
     ring.update(["b"], 9000)
-    # The longest time between two counts, twice: the other's and this node's.
+    # Twice the longest interval between two counts of the nodes.
     assert ring.shares(2000 + 29_999) == 3 and ring.shares(2000 + 30_000) == 1
     ring.update(["a", "b"], 40_000)
     assert ring.shares(40_001) == 3 and ring.shares(70_000) == 2
     assert ring.holders("o") in (["a", "b"], ["b", "a"])
     for turn in range(100):
         ring.update(["a", "b", f"c{turn}"], 100_000 + 5000 * turn)
-    assert len(ring._earlier) <= 9, "views that are long over are forgotten"
+    assert len(ring._earlier) <= 9, "old views are dropped"
 
 
 @then("it asks the third node as soon as it counts it")
@@ -283,20 +283,20 @@
 
 @then("each change is reported once, when a request is refused and when half of the share is free")
 def changes_told(context):
-    holder, told = holder_since_long(), []
+    holder, reported = established_holder(), []
     for number in range(200):
         now_ms = number * 100 if number < 100 else 10_000 + (number - 100) * 1000
         replies = step(holder, ask_of(number, cost=LIMIT.per_s / 4), LIMIT, now_ms)
         admitted = next(one.admitted for one in replies if isinstance(one, Answer))
         for change in replies[1:]:
             assert change.exceeded is not admitted, (number, change)
-            told.append(change.exceeded)
-    assert told == [True, False], told
+            reported.append(change.exceeded)
+    assert reported == [True, False], reported
 
 
 @then("a holder drops empty buckets and old requests")
 def forgets(context):
-    holder = holder_since_long()
+    holder = established_holder()
     for number in range(2 * MAX_COUNTED_ASKS):
         step(holder, ask_of(number, cost=0), LIMIT, 0)
     assert len(holder.buckets["o"]._counted) <= MAX_COUNTED_ASKS + 1
@@ -318,11 +318,11 @@
 
 @then("each gets a later retry time, at the rate of the quota")
 def one_after_the_other(context):
-    holder = holder_since_long()
+    holder = established_holder()
     answers = [step(holder, ask_of(number), LIMIT, 0)[0] for number in range(16)]
-    told = [answer.retry_after_ms for answer in answers if not answer.admitted]
+    reported = [answer.retry_after_ms for answer in answers if not answer.admitted]
     assert [answer.admitted for answer in answers].count(True) == 6
-    assert told == [500 * turn for turn in range(1, 11)], told
+    assert reported == [500 * turn for turn in range(1, 11)], reported
 
 
 @then("on average such nodes admit no more than their parts")
@@ -337,5 +337,5 @@
             alone.admit(Ask(rid, "o", GENERATION_TOKENS, limit, 3), at_ms) for rid, at_ms in asks
         ]
         admitted.append(GENERATION_TOKENS * sum(won))
-    # Half a part at once, and in 0.8 of a window that much of the other half.
+    # Half of the part is available at once, and 0.8 of the other half after 0.8 of a window.
     assert 0.9 <= statistics.mean(admitted) / (0.9 * part) <= 1.1
