--- a/saffronworks/tests/features/steps/quotas_steps.py
+++ b/saffronworks/tests/features/steps/quotas_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on quotas on the whole path over loopback."""
+"""Steps on quotas on the whole path over loopback."""
 
 import anyio
 from behave import then, when
@@ -11,7 +11,7 @@
 PER_S = 0.5
 KEY, OTHER_KEY, FREE_KEY = "k-limited", "k-other", "k-free"
 BURST = 30
-# A holder that has just started admits less for one window.
+# A holder that has just started admits less than its share for one window.
 WINDOW_S = 1.0
 LIMITED = {"name": "limited", "api_keys": [KEY], "rate_per_s": PER_S, "burst": BURST}
 OTHER = {"name": "other", "api_keys": [OTHER_KEY], "rate_per_s": PER_S, "burst": BURST}
@@ -23,8 +23,11 @@
 }
 
 
-async def until_counted(place):
-    """Each node knows all, for long: until then it admits only its third of a quota."""
+async def wait_until_counted(place):
+    """Wait until all nodes have counted each other, and treat their views as settled.
+
+    Before that each node divides a quota by three.
+    """
     nodes = [node._quotas.shared_limit.entry.choice for node in place.nodes]
     assert await wait_until(lambda: all(len(c.cores) == len(nodes) for c in nodes), limit_s=6)
     for node in place.nodes:
@@ -36,10 +39,10 @@
     return int(raw.split(b" ")[1])
 
 
-def account(place, name):
-    """What is owed by all shares of an organisation."""
-    held = [node._quotas.shared_limit.holder_state.buckets.get(name) for node in place.nodes]
-    return sum(one.level for one in held if one is not None)
+def total_level(place, name):
+    """Return the sum of the levels of an organisation's buckets at all nodes."""
+    buckets = [node._quotas.shared_limit.holder_state.buckets.get(name) for node in place.nodes]
+    return sum(one.level for one in buckets if one is not None)
 
 
 @when("an organisation sends four times its burst to two nodes in turn")
@@ -47,7 +50,7 @@
     context.servers_used = web_servers()
 
     async def play(place):
-        await until_counted(place)
+        await wait_until_counted(place)
         context.raws, context.others = [], []
         for number in range(4 * BURST):
             node = place.nodes[number % 2]
@@ -65,7 +68,7 @@
     context.servers_used = web_servers()
 
     async def play(place):
-        await until_counted(place)
+        await wait_until_counted(place)
         for _ in range(4 * BURST):
             await place.ask("/once/", "r1", {"Key": KEY})
         context.spare = place.node.settings.quota_bounds.spare(Limit(PER_S, BURST))
@@ -94,7 +97,7 @@
     servers[0].script = ["shed"] * BURST
 
     async def play(place):
-        await until_counted(place)
+        await wait_until_counted(place)
         turned = [await place.ask("/once/", f"t{n}", {"Key": KEY}) for n in range(BURST)]
         await anyio.sleep(0.1)
         raws = [await place.ask("/once/", f"r{n}", {"Key": KEY}) for n in range(BURST)]
@@ -117,11 +120,11 @@
         server.script = ["error"]
 
     async def play(place):
-        await until_counted(place)
-        before = account(place, "limited")
+        await wait_until_counted(place)
+        before = total_level(place, "limited")
         await place.ask("/again/", "r1", {"Key": KEY}, method="GET")
         await anyio.sleep(0.1)
-        context.counted = account(place, "limited") - before
+        context.counted = total_level(place, "limited") - before
         context.runs = sum(len(server.ran) for server in servers)
 
     on_platform(servers, play, config=WITH_QUOTAS)
