--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the limits that endpoints name: what a node knows, and the path over loopback."""
+"""Steps on endpoint limits: the state of one node, and the whole path over loopback."""
 
 import time
 from functools import partial
@@ -40,8 +40,8 @@
 from saffronworks.tests.log_lines import LogLines
 from saffronworks.tests.platform_place import engines, on_platform, web_servers
 
-# What an endpoint tolerates in any 4 s, of nodes that were told half a second ago or earlier.
-WINDOW_S, TOLD_S = 4.0, 0.5
+# What an endpoint tolerates in any 4 s from nodes that have had its limit for half a second.
+WINDOW_S, INFORMED_AFTER_S = 4.0, 0.5
 TOLERATED_FACTOR, TOLERATED_MORE = 1.5, 5
 PLAY_S = 8.0
 
@@ -75,7 +75,7 @@
 
 
 def limited(context):
-    """The endpoints that name a limit, and their limits."""
+    """Return the limited endpoints and their limits."""
     pairs = zip(context.web, context.limits, strict=True)
     return [(server, per_s) for server, per_s in pairs if per_s is not None]
 
@@ -105,7 +105,7 @@
     async def play(place):
         choices = [node._limits.shared_limit.entry.choice for node in place.nodes]
         assert await wait_until(lambda: all(len(c.cores) == 3 for c in choices), limit_s=6)
-        # Holders that have just started take it that their shares are used up.
+        # Holders that have just started assume that their shares are used up.
         await anyio.sleep(WINDOW_S)
         context.began_s = time.monotonic()
         context.asked = await place.ask_evenly(per_s, PLAY_S, partial(ask_one, place))
@@ -120,7 +120,7 @@
 )
 def within_limit(context):
     for server, per_s in limited(context):
-        told = [at for at in server.arrived_s if at >= context.began_s + 2 * TOLD_S]
+        told = [at for at in server.arrived_s if at >= context.began_s + 2 * INFORMED_AFTER_S]
         assert most_in_window(told) <= tolerated(per_s), (server.instance, most_in_window(told))
 
 
@@ -148,7 +148,7 @@
 
 
 def limited_to(named, closed_ms):
-    """Endpoints that name a limit, and for how long it is used up at some of them."""
+    """Return an eligibility with limited endpoints, some of them in backoff."""
     blocks = {one: Block(BlockReason.RATE_LIMITED, ms) for one, ms in closed_ms.items()}
     return Eligibility(blocks, named)
 
@@ -161,7 +161,7 @@
 
 
 def play_limited(may_repeat, replies, named, closed, budget=None):
-    """Let endpoints and holders answer in the given ways: who ran it, who had no room, the end."""
+    """Run a request; return the endpoints that ran it, those without a permit, and the end."""
     state = plain.PlainState("s", may_repeat, 2, 300, 1500)
     budget = budget or wide_budget()
     closed_ms = {f"e{n}": 70 + n for n in named & closed}
@@ -171,7 +171,7 @@
     permitted = last = None
     for _ in range(MOST_STEPS):
         if not isinstance(command, plain.SendTo | plain.AcquirePermit):
-            # What is passed on is the answer that came last.
+            # Only the last answer can be relayed.
             assert not isinstance(command, plain.Relay) or last in ("ok", "500"), last
             return ran, used_up, command
         instance = command.endpoint.instance
@@ -238,7 +238,7 @@
     assert ran == ["e0"] or isinstance(end, plain.Relay)
     ran, _, end = play_limited(True, ["500"] + ["used-up"] * 3, {1, 2, 3}, set())
     assert (ran, end) == (["e0"], plain.Relay())
-    # The answer of the first one is gone once the next one was asked.
+    # The first answer can't be relayed once the next endpoint was asked.
     _, _, end = play_limited(True, ["500", "not-run", "used-up", "used-up"], {2, 3}, set())
     assert isinstance(end, Refuse) and end.status == 502, end
 
