--- a/saffronworks/tests/features/steps/limit_fleet_steps.py
+++ b/saffronworks/tests/features/steps/limit_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the limits that endpoints name, over many nodes on virtual time."""
+"""Steps on endpoint limits of many simulated nodes in virtual time."""
 
 from behave import given, then, when
 from hypothesis import given as forall
@@ -9,8 +9,8 @@
 from saffronworks.tests.virtual_fleet import FAULTS
 
 SEEDS = range(1, 5)
-CALM_MS, HELD_MS, TROUBLE_MS, AFTER_MS = 1000, 8000, 6000, 10_000
-# From when on the endpoint's part is measured: all nodes know the limit, no holder has just begun.
+CALM_MS, HELD_MS, FAULT_MS, AFTER_MS = 1000, 8000, 6000, 10_000
+# Served requests count from then on, when all nodes have the limit and holders are established.
 SETTLED_MS = 5000
 
 
@@ -18,15 +18,15 @@
     return fleet.rng.sample(fleet.live, int(len(fleet.live) * share))
 
 
-TROUBLES = {
+FAULT_INJECTIONS = {
     "no fault occurs": lambda fleet: None,
     "all holders crash": lambda fleet: fleet.kill(fleet.holders(ENDPOINT), 2000),
     "half of the nodes crash": lambda fleet: fleet.kill(part(fleet, 0.5), 2000),
     "two holders freeze": lambda fleet: fleet.freeze(fleet.holders(ENDPOINT)[:2], 3000),
-    "a third is partitioned off": lambda fleet: fleet.cut([part(fleet, 0.33)], TROUBLE_MS),
-    "the halves are partitioned": lambda fleet: fleet.cut([part(fleet, 0.5)], TROUBLE_MS),
+    "a third is partitioned off": lambda fleet: fleet.cut([part(fleet, 0.33)], FAULT_MS),
+    "the halves are partitioned": lambda fleet: fleet.cut([part(fleet, 0.5)], FAULT_MS),
     "a third is isolated": lambda fleet: fleet.cut(
-        [[node] for node in part(fleet, 0.33)], TROUBLE_MS
+        [[node] for node in part(fleet, 0.33)], FAULT_MS
     ),
 }
 
@@ -40,13 +40,13 @@
     context.fleets = [LimitFleet(nodes, None, seed, busy) for seed in SEEDS]
 
 
-@when("it advertises that limit while {trouble}")
-def names_limit(context, trouble):
+@when("it advertises that limit while {fault}")
+def names_limit(context, fault):
     for fleet in context.fleets:
         fleet.play(CALM_MS)
         fleet.per_s = context.per_s
         fleet.play(HELD_MS)
-        TROUBLES[trouble](fleet)
+        FAULT_INJECTIONS[fault](fleet)
         fleet.play(AFTER_MS)
 
 
@@ -77,8 +77,8 @@
     "in no 4 s are more requests sent than tolerated, whatever nodes crash, freeze or are "
     "partitioned"
 )
-def any_troubles(context):
-    trouble = st.tuples(
+def any_faults(context):
+    fault = st.tuples(
         st.integers(500, 9000),
         st.sampled_from(FAULTS),
         st.floats(0.05, 0.6),
@@ -90,17 +90,17 @@
         st.integers(0, 10_000),
         st.sampled_from([3, 8, 20, 60]),
         st.sampled_from([0.4, 1.0, 2.4, 8.0, 30.0]),
-        st.lists(trouble, min_size=1, max_size=5),
+        st.lists(fault, min_size=1, max_size=5),
     )
-    def check(seed, count, per_s, troubles):
+    def check(seed, count, per_s, faults):
         fleet = LimitFleet(count, None, seed)
         fleet.play(CALM_MS)
         fleet.per_s = per_s
-        for at_ms, kind, share, for_ms in troubles:
+        for at_ms, kind, share, for_ms in faults:
             names = part(fleet, share)
             fleet.at(at_ms, fleet.inject_fault, ENDPOINT, kind, names, for_ms)
         fleet.play(12_000)
-        assert fleet.worst_window() <= 1.0, (seed, count, per_s, troubles)
+        assert fleet.worst_window() <= 1.0, (seed, count, per_s, faults)
 
     check()
 
