--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what is known of endpoints that drain or pause, and the check before each send."""
+"""Steps on the recorded drains and pauses of endpoints, and the check before each send."""
 
 import anyio
 from behave import then
@@ -228,7 +228,7 @@
                     assert broken.withheld and not broken.sent and not broken.unreachable
                 else:
                     raise AssertionError("it was sent")
-            # What frees memory there can't be put off.
+            # A call that frees memory at the endpoint is sent in any case.
             await calls.drop_hold(KvHold(endpoint, "h1", 0))
             tasks.cancel_scope.cancel()
 
@@ -261,7 +261,7 @@
 
 
 def play_blocked(may_repeat, replies, blocks):
-    """Let endpoints answer in the given ways; returns where the request went, and its end."""
+    """Run a request with the given replies; return the endpoints it was sent to and its end."""
     state = plain.PlainState("s", may_repeat, 2, 300, 1500)
     budget, eligibility, sent = wide_budget(), Eligibility(blocks), []
     waiting = list(replies)
@@ -328,7 +328,7 @@
     assert open_stream == OpenStream(decoders[1])
     rejects = AnswerHead(503, (), Executed.NO, False, "status-503", asks_pause=True)
     waits = generation_core.step(state, StreamAnswered("d1", rejects), pools, budget, 0)
-    # Neither the engine nor the reader of the prompt is told to the planner as broken.
+    # Neither the decode engine nor the prefill engine is reported to the planner as broken.
     assert isinstance(waits, Wait) and not state.broken and not state.runs
 
 
@@ -361,7 +361,7 @@
     assert eligibility.find_block(listed_one(), 0) == paused
     assert eligibility.find_block(listed_one(), 0, reserved=True) is None
     assert eligibility.eligibility_of([listed_one()]).blocks == {"e0": paused}
-    # A pause that is named again begins no new time of grace.
+    # A pause that is advertised again starts no new grace period.
     now_ms[0] = PAUSE_GRACE_MS
     eligibility.observe(listed_one(), pause("5"))
     assert eligibility.find_block(listed_one(), 0, reserved=True) == Block(BlockReason.PAUSED, 5000)
