--- a/saffronworks/tests/features/steps/advertised_steps.py
+++ b/saffronworks/tests/features/steps/advertised_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on endpoints that drain or ask for a pause: the path over loopback."""
+"""Steps on endpoints that advertise a drain or a pause, on the whole path over loopback."""
 
 import re
 import time
@@ -10,19 +10,19 @@
 from saffronworks.tests.platform_fakes import FakeServer
 from saffronworks.tests.platform_place import engines, on_platform, web_servers
 
-# As the nodes' settings say.
+# The drain time in the settings of the nodes.
 DRAIN_S = 2.0
-# What is under way when an endpoint asks for a pause may still reach it for so long.
+# Requests in flight when a pause begins may still arrive for this long.
 PAUSE_GRACE_S = 0.5
 MAX_IN_PAUSE = 2
 PLAY_S = 6.0
 NEAR_WORK_S, AWAY_WORK_S = 0.05, 0.1
 NODES = 3
-# Times to return are told in tenths of a second at best.
+# Retry times are rounded to tenths of a second.
 ROUNDED_S = 0.2
-# By then each node has called each engine.
+# By then each node has called each engine at least once.
 KNOWN_S = 3.0
-# A place and a stream, or a read, of each node.
+# Each node may make two calls: a reservation and a stream, or a prefill.
 MAX_CALLS_TO_LEARN = 2 * NODES
 
 
@@ -57,24 +57,24 @@
     return place.ask("/again/", *args, **options)
 
 
-def play_callers(context, per_s, strike, ask_one=ask_plain):
-    """Callers ask all nodes in turn; `strike(place)` comes a second after they begin."""
+def play_callers(context, per_s, inject_fault, ask_one=ask_plain):
+    """Send requests to all nodes in turn; call `inject_fault(place)` a second after the start."""
 
     async def play(place):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(strike_later, place)
+            tasks.start_soon(inject_fault_later, place)
             context.asked = await place.ask_evenly(per_s, PLAY_S, partial(ask_one, place))
 
-    async def strike_later(place):
+    async def inject_fault_later(place):
         await anyio.sleep(1.0)
-        context.struck_s = time.monotonic()
-        strike(place)
+        context.fault_s = time.monotonic()
+        inject_fault(place)
 
     on_platform(context.web, play, count=NODES)
 
 
 def arrivals(context, server):
-    """Requests that reached a server: when, and what their callers saw."""
+    """Return the requests that reached a server, with arrival times and their callers' results."""
     asked = {one.request_id: one for one in context.asked}
     ids = [headers.get("request-id") for _, _, headers, _ in server.seen]
     reached = zip(server.arrived_s, ids, strict=True)
@@ -82,7 +82,7 @@
 
 
 def calls_after(server, from_s):
-    """When calls of any kind reached a server, but those that free what it holds."""
+    """Return when POST calls reached a server, which leaves out those that free reservations."""
     calls = zip(server.arrived_s, server.seen, strict=True)
     return [at_s for at_s, (method, *_) in calls if method == "POST" and at_s >= from_s]
 
@@ -93,11 +93,11 @@
 )
 @when("it drains while the store does not answer, and callers send {per_s:d} requests a second")
 def drains(context, per_s):
-    def strike(place):
+    def inject_fault(place):
         place.store.fault = "silent"
         context.web[0].drains = True
 
-    play_callers(context, per_s, strike)
+    play_callers(context, per_s, inject_fault)
 
 
 @then(
@@ -107,7 +107,7 @@
     reached = arrivals(context, context.web[0])
     told_s = {}
     for at_s, asked in reached:
-        if at_s >= context.struck_s:
+        if at_s >= context.fault_s:
             told_s[asked.node] = min(told_s.get(asked.node, asked.ended_s), asked.ended_s)
     assert told_s, "no node was told"
     late = [
@@ -145,11 +145,11 @@
 def reject_all(context, servers, pause_s, per_s, ask_one=ask_plain):
     context.pause_s, context.paused = pause_s, servers
 
-    def strike(place):
+    def inject_fault(place):
         for server in servers:
             server.pause = str(pause_s)
 
-    play_callers(context, per_s, strike, ask_one)
+    play_callers(context, per_s, inject_fault, ask_one)
 
 
 @then(
@@ -158,9 +158,9 @@
 )
 def few_in_pause(context):
     for server in context.paused:
-        reached = [one for one in arrivals(context, server) if one[0] >= context.struck_s]
-        # A call for a place names no request: it is counted whoever makes it.
-        asked_s = [] if reached else calls_after(server, context.struck_s)
+        reached = [one for one in arrivals(context, server) if one[0] >= context.fault_s]
+        # A call for a reservation has no request id, so it is counted for all nodes together.
+        asked_s = [] if reached else calls_after(server, context.fault_s)
         assert reached or asked_s, "no node was told"
         assert len(asked_s) <= NODES * (1 + MAX_IN_PAUSE), asked_s
         for node in range(NODES):
@@ -177,8 +177,8 @@
     "pause's end"
 )
 def told_of_pause(context):
-    ended_s = context.struck_s + context.pause_s
-    after = [one for one in context.asked if context.struck_s + 1 < one.sent_s < ended_s - 1]
+    ended_s = context.fault_s + context.pause_s
+    after = [one for one in context.asked if context.fault_s + 1 < one.sent_s < ended_s - 1]
     assert after and {one.status for one in after} == {503}
     assert all(b"endpoints-paused" in one.raw for one in after)
     for one in after:
@@ -196,29 +196,29 @@
 def engines_drain(context, per_s):
     context.draining = [context.web[0], context.web[2]]
 
-    def strike(place):
+    def inject_fault(place):
         place.store.fault = "silent"
         for engine in context.draining:
             engine.drains = True
 
-    play_callers(context, per_s, strike, generate)
+    play_callers(context, per_s, inject_fault, generate)
 
 
 @then("each gets at most two calls per node, and none after three seconds")
 def no_late_calls(context):
     for engine in context.draining:
-        after_s = calls_after(engine, context.struck_s)
+        after_s = calls_after(engine, context.fault_s)
         assert after_s, (engine.instance, "was not asked")
-        # Each of the nodes may learn it by a call of its own, until all have.
+        # Each node may learn of the drain by calls of its own.
         assert len(after_s) <= MAX_CALLS_TO_LEARN, (engine.instance, after_s)
-        late_s = [at_s for at_s in after_s if at_s > context.struck_s + KNOWN_S]
+        late_s = [at_s for at_s in after_s if at_s > context.fault_s + KNOWN_S]
         assert not late_s, (engine.instance, late_s)
 
 
 @then("earlier requests are served, and later ones rejected at once as not executed")
 def served_or_told(context):
-    before = [one for one in context.asked if one.sent_s < context.struck_s + DRAIN_S]
-    after = [one for one in context.asked if one.sent_s > context.struck_s + 2 * DRAIN_S]
+    before = [one for one in context.asked if one.sent_s < context.fault_s + DRAIN_S]
+    after = [one for one in context.asked if one.sent_s > context.fault_s + 2 * DRAIN_S]
     assert before and {one.status for one in before} == {200}
     assert after and {one.status for one in after} == {503}
     assert all(b"retry-after" in one.raw and one.took_s < PAUSE_GRACE_S for one in after)
