--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on rejections that promise that a request has not run: 408, 421, 429 and 503."""
+"""Steps on rejections that promise that a request has not run: 408, 421, 429 and 503."""
 
 from behave import then
 from hypothesis import given as forall
@@ -21,7 +21,7 @@
 
 
 def check_promise(may_repeat, end):
-    """Guards against a caller who sends an unrepeatable request again after it was run."""
+    """Check the promise, by which a caller may repeat an unrepeatable request."""
     if end.may_have_run:
         assert not promises_not_run(end.status), end
         assert not (isinstance(end.command, Refuse) and end.command.not_run), end
