--- a/saffronworks/tests/features/steps/advertised_steps.py
+++ b/saffronworks/tests/features/steps/advertised_steps.py
@@ -105,15 +105,15 @@
 )
 def none_late(context):
     reached = arrivals(context, context.web[0])
-    told_s = {}
+    informed_s = {}
     for at_s, asked in reached:
         if at_s >= context.fault_s:
-            told_s[asked.node] = min(told_s.get(asked.node, asked.ended_s), asked.ended_s)
-    assert told_s, "no node was told"
+            informed_s[asked.node] = min(informed_s.get(asked.node, asked.ended_s), asked.ended_s)
+    assert informed_s, "no node got such an answer"
     late = [
         asked.request_id
         for _, asked in reached
-        if asked.sent_s > told_s.get(asked.node, float("inf")) + DRAIN_S
+        if asked.sent_s > informed_s.get(asked.node, float("inf")) + DRAIN_S
     ]
     assert not late, f"{len(late)} of {len(reached)}: {late}"
 
@@ -161,13 +161,13 @@
         reached = [one for one in arrivals(context, server) if one[0] >= context.fault_s]
         # A call for a reservation has no request id, so it is counted for all nodes together.
         asked_s = [] if reached else calls_after(server, context.fault_s)
-        assert reached or asked_s, "no node was told"
+        assert reached or asked_s, "no node got such an answer"
         assert len(asked_s) <= NODES * (1 + MAX_IN_PAUSE), asked_s
         for node in range(NODES):
             at_s = [at for at, asked in reached if asked.node == node]
             in_pause = [
-                sum(told + PAUSE_GRACE_S <= at < told + context.pause_s for at in at_s)
-                for told in at_s
+                sum(rejected + PAUSE_GRACE_S <= at < rejected + context.pause_s for at in at_s)
+                for rejected in at_s
             ]
             assert max(in_pause, default=0) <= MAX_IN_PAUSE, (server.instance, node, in_pause)
 
