--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -120,8 +120,11 @@
 )
 def within_limit(context):
     for server, per_s in limited(context):
-        told = [at for at in server.arrived_s if at >= context.began_s + 2 * INFORMED_AFTER_S]
-        assert most_in_window(told) <= tolerated(per_s), (server.instance, most_in_window(told))
+        counted = [at for at in server.arrived_s if at >= context.began_s + 2 * INFORMED_AFTER_S]
+        assert most_in_window(counted) <= tolerated(per_s), (
+            server.instance,
+            most_in_window(counted),
+        )
 
 
 @then("all callers are served")
