--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -75,8 +75,8 @@
 
 
 def message_at(state, now_ms):
-    (told,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
-    return told.news
+    (message,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
+    return message.news
 
 
 @then(
@@ -96,11 +96,13 @@
     last_ms = 100 + 3 * MAX_SUSPICIONS
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
     assert Admission.ALLOWED not in judged
-    told = message_at(state, last_ms)
-    assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(told)) < 3500
-    told = message_at(state, last_ms + RECENT_CHANGE_MS + 1)
-    most_bytes_s = len(codec.encode(told)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
-    assert len(told.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
+    message = message_at(state, last_ms)
+    assert (
+        len(message.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(message)) < 3500
+    )
+    message = message_at(state, last_ms + RECENT_CHANGE_MS + 1)
+    most_bytes_s = len(codec.encode(message)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
+    assert len(message.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
         most_bytes_s
     )
 
@@ -316,13 +318,13 @@
         assert node.state.admission(CRASHING, DAY_MS - 60_000) is Admission.REFUSED
         step(node.state, events.Tick(), 2 * DAY_MS)
         assert node.state.idle, "a quarantine expires after a day"
-    told = new_state()
-    step(told, SuspicionNews("n2", (old_view(DAY_MS),)), 10)
-    assert told.idle, "an expired quarantine does not return by gossip of another node"
-    step(told, SuspicionNews("n2", (old_view(DAY_MS - 60_000),)), 10)
-    assert told.admission(CRASHING, 50_000) is Admission.REFUSED
-    step(told, events.Tick(), 70_000)
-    assert told.idle, "a receiver continues from the sender's age"
+    receiver = new_state()
+    step(receiver, SuspicionNews("n2", (old_view(DAY_MS),)), 10)
+    assert receiver.idle, "an expired quarantine does not return by gossip of another node"
+    step(receiver, SuspicionNews("n2", (old_view(DAY_MS - 60_000),)), 10)
+    assert receiver.admission(CRASHING, 50_000) is Admission.REFUSED
+    step(receiver, events.Tick(), 70_000)
+    assert receiver.idle, "a receiver continues from the sender's age"
     freed = new_state()
     freed.update_nodes(["n1"])
     record_ends(freed, CRASHING, 1, 2, 3)
