--- a/saffronworks/tests/rejection_plays.py
+++ b/saffronworks/tests/rejection_plays.py
@@ -167,7 +167,7 @@
     state = GenerationState(
         "s", 9000, may_repeat, 3, 900, 0, 14_000, 2000, gives_up_ms=3600, plans_left=2
     )
-    budget, now_ms, ran, told = narrow_budget(), 0, 0, None
+    budget, now_ms, ran, answer = narrow_budget(), 0, 0, None
     event = Begin()
     for _ in range(8 * MOST_STEPS):
         turn, bar = played.next()
@@ -179,7 +179,7 @@
                 ran += may_have_run(turn.reply)
                 event = _stream_event(state, turn.reply)
             case gen.StartStream(head) | gen.RelayFailure(head):
-                told = head
+                answer = head
                 event = _relay_event(state, turn)
             case gen.ContinueStream():
                 event = _relay_event(state, turn)
@@ -190,9 +190,9 @@
                 event = _place_event(command, turn, now_ms)
             case _:
                 # Once an answer has begun, the caller has received its status.
-                return End(told or command, ran)
+                return End(answer or command, ran)
         if event is None:
-            return End(told, ran)
+            return End(answer, ran)
     raise AssertionError(f"no end: {command}")
 
 
