--- a/saffronworks/tests/features/endpoint_limits.feature
+++ b/saffronworks/tests/features/endpoint_limits.feature
@@ -45,12 +45,12 @@
 
   Scenario Outline: simulated fleets whose callers all use one endpoint
     Given a fleet of <nodes> nodes, <busy> of them with callers, and an endpoint that takes <per_s> requests per second
-    When it advertises that limit while <trouble>
+    When it advertises that limit while <fault>
     Then in no 4 s does it get more requests than it tolerates, from all nodes, with four seeds
     And it gets at least <least> of its limit
 
     Examples: no faults
-      | nodes | busy | per_s | trouble        | least |
+      | nodes | busy | per_s | fault          | least |
       | 8     | 8    | 1     | no fault occurs | 0.8   |
       | 8     | 1    | 1     | no fault occurs | 0.8   |
       | 8     | 8    | 10    | no fault occurs | 0.8   |
@@ -61,7 +61,7 @@
       | 195   | 20   | 10    | no fault occurs | 0.8   |
 
     Examples: nodes with faults
-      | nodes | busy | per_s | trouble                         | least |
+      | nodes | busy | per_s | fault                           | least |
       | 8     | 8    | 1     | all holders crash               | 0.8   |
       | 8     | 8    | 2.4   | half of the nodes crash         | 0.8   |
       | 60    | 60   | 1     | half of the nodes crash         | 0.8   |
--- a/saffronworks/tests/features/quotas.feature
+++ b/saffronworks/tests/features/quotas.feature
@@ -27,12 +27,12 @@
 
   Scenario Outline: simulated fleets
     Given a simulated fleet of <nodes> nodes
-    When <organisation> sends <times> times its usual rate while <trouble>
+    When <organisation> sends <times> times its usual rate while <fault>
     Then in no window does more run than is tolerated, with four seeds
     And at most <refused> in 1,000 requests of organisations within their quota are refused
 
     Examples: no faults
-      | nodes | organisation | times | trouble        | refused |
+      | nodes | organisation | times | fault          | refused |
       | 8     | the largest  | 7.5   | no fault occurs | 0       |
       | 60    | the largest  | 7.5   | no fault occurs | 0       |
       | 60    | a middle one | 7.5   | no fault occurs | 0       |
@@ -40,14 +40,14 @@
       | 195   | the largest  | 7.5   | no fault occurs | 0       |
 
     Examples: nodes that crash or freeze
-      | nodes | organisation | times | trouble                    | refused |
+      | nodes | organisation | times | fault                      | refused |
       | 60    | the largest  | 7.5   | one holder crashes         | 1       |
       | 60    | the largest  | 7.5   | all holders crash          | 1       |
       | 60    | the largest  | 7.5   | half of the nodes crash    | 1       |
       | 60    | the largest  | 7.5   | one holder freezes         | 1       |
 
     Examples: partitions; nodes that reach no holder refuse more
-      | nodes | organisation | times | trouble                       | refused |
+      | nodes | organisation | times | fault                         | refused |
       | 60    | the largest  | 7.5   | a third is partitioned off    | 30      |
       | 60    | the largest  | 7.5   | the halves are partitioned      | 30    |
       | 60    | the largest  | 7.5   | a third is isolated           | 60      |
