--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -111,8 +111,8 @@
     def admission(self, content: ContentId, now_ms: int) -> Admission:
         """Return whether a request with this content may be sent now.
 
-        Only owners start a trial, and they report it to each other at once. Two trials started at
-        the same time could crash two endpoints where one answers the question.
+        Only owners start a trial, and they report it to each other at once. Otherwise two nodes
+        could start trials at the same time and crash two endpoints where one trial is enough.
         """
         admission = self.table.admission(content, now_ms)
         if admission is Admission.TRIAL and not self.is_owner(content):
