--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -25,7 +25,7 @@
 KEEP_SUSPECT_MS = 600_000
 # Interval between checks for expired entries, which are kept for minutes at least.
 EXPIRY_INTERVAL_MS = 5000
-# One crash adds up to 64 suspicions of 0.5 KB each.
+# Suspicions of 0.5 KB each in the table of a node; one crash adds up to 64.
 MAX_SUSPICIONS = 2048
 # Nodes that merge the reports on one content: three, as two may fail at once.
 CONTENT_OWNERS = 3
