--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -60,12 +60,12 @@
         self.busy = self.live[:busy_nodes] if busy_nodes else self.live
         self.asked = 0
         self.arrivals = []
-        self.first_named_ms = None
+        self.first_limit_ms = None
         self.excluded_until_ms = {}
         self.nodes = {name: self._start(name) for name in self.names}
         self.shares = FleetShares(self, LIMIT_TOLERANCE, self._limit_of, stagger_retries=False)
         for name in self.live:
-            self.at(self.rng.randrange(GOSSIP_INTERVAL_MS), self._tell, name)
+            self.at(self.rng.randrange(GOSSIP_INTERVAL_MS), self._gossip, name)
 
     def _start(self, name):
         neighbours = Neighbours(name, self.rng)
@@ -80,7 +80,9 @@
 
     def _answer_start(self, name, asker):
         for instance in self.nodes[name].table.limited():
-            self.send(name, asker, self._hear_news, asker, self.nodes[name].table.entry(instance))
+            self.send(
+                name, asker, self._receive_update, asker, self.nodes[name].table.entry(instance)
+            )
 
     def on_fault(self, names, for_ms):
         until_ms = self.now_ms + for_ms + EXCLUDED_MS
@@ -89,26 +91,26 @@
     def _limit_of(self, name, event):
         known = self.nodes[name].table.find(event.subject)
         asked = event.limit.per_s if isinstance(event, Ask) else MIN_PER_S
-        named = asked if known is None else min(known, asked)
-        return Limit(max(MIN_PER_S, named), 0.0)
+        per_s = asked if known is None else min(known, asked)
+        return Limit(max(MIN_PER_S, per_s), 0.0)
 
     # Gossip between nodes.
 
-    def _learn(self, name):
+    def _queue_update(self, name):
         self.nodes[name].pending.add(ENDPOINT)
 
-    def _tell(self, name):
-        self.at(GOSSIP_INTERVAL_MS, self._tell, name)
+    def _gossip(self, name):
+        self.at(GOSSIP_INTERVAL_MS, self._gossip, name)
         node = self.nodes[name]
         if name in self.away or not node.pending.pop_batch():
             return
         for other in node.neighbours.choose(GOSSIP_FANOUT):
-            self.send(name, other, self._hear_news, other, node.table.entry(ENDPOINT))
+            self.send(name, other, self._receive_update, other, node.table.entry(ENDPOINT))
 
-    def _hear_news(self, name, heard):
-        known = KnownLimit(heard.per_s, heard.observed_ms)
+    def _receive_update(self, name, update):
+        known = KnownLimit(update.per_s, update.observed_ms)
         if self.nodes[name].table.record_update(ENDPOINT, known):
-            self._learn(name)
+            self._queue_update(name)
 
     # Requests.
 
@@ -165,18 +167,18 @@
             return
         node = self.nodes[name]
         if node.table.record_answer(ENDPOINT, AdvertisedLimit(per_s, sent_ms), self.now_ms):
-            self._learn(name)
+            self._queue_update(name)
             if per_s is None:
                 node.backoff.clear(ENDPOINT)
         if per_s is not None:
             node.informed_ms = node.informed_ms or self.now_ms
-            self.first_named_ms = self.first_named_ms or self.now_ms
+            self.first_limit_ms = self.first_limit_ms or self.now_ms
 
     # Results.
 
     def worst_window(self, of_all=False):
         """Return the most requests in a window, as a fraction of what the endpoint tolerates."""
-        from_ms = self.first_named_ms + CONTACT_MS
+        from_ms = self.first_limit_ms + CONTACT_MS
         counted = [a.at_ms for a in self.arrivals if a.at_ms >= from_ms and (a.informed or of_all)]
         window_ms = LIMIT_TOLERANCE.window_ms
         most = max((sum(at <= b < at + window_ms for b in counted) for at in counted), default=0)
