--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -140,7 +140,7 @@
 
 
 @then("the other requests are rejected at once as not executed, with a retry time")
-def told_at_once(context):
+def rejected_at_once(context):
     refused = [one for one in context.asked if one.status != 200]
     assert {one.status for one in refused} == {503}
     assert all(b"endpoints-limited" in one.raw and b"retry-after" in one.raw for one in refused)
@@ -150,10 +150,10 @@
     assert waits_s[len(waits_s) // 2] < 0.1, waits_s
 
 
-def limited_to(named, closed_ms):
+def limited_to(with_limit, backoff_ms):
     """Return an eligibility with limited endpoints, some of them in backoff."""
-    blocks = {one: Block(BlockReason.RATE_LIMITED, ms) for one, ms in closed_ms.items()}
-    return Eligibility(blocks, named)
+    blocks = {one: Block(BlockReason.RATE_LIMITED, ms) for one, ms in backoff_ms.items()}
+    return Eligibility(blocks, with_limit)
 
 
 def refused(after_ms):
@@ -163,12 +163,12 @@
 SENDS = st.lists(st.sampled_from([*REPLY_KINDS, "used-up", "room"]), max_size=30)
 
 
-def play_limited(may_repeat, replies, named, closed, budget=None):
+def play_limited(may_repeat, replies, with_limit, in_backoff, budget=None):
     """Run a request; return the endpoints that ran it, those without a permit, and the end."""
     state = plain.PlainState("s", may_repeat, 2, 300, 1500)
     budget = budget or wide_budget()
-    closed_ms = {f"e{n}": 70 + n for n in named & closed}
-    eligibility = limited_to({f"e{n}" for n in named}, closed_ms)
+    backoff_ms = {f"e{n}": 70 + n for n in with_limit & in_backoff}
+    eligibility = limited_to({f"e{n}" for n in with_limit}, backoff_ms)
     ran, used_up, now_ms, waiting = [], [], 0, list(replies)
     command = plain.step(state, Begin(), endpoints(4), budget, now_ms, None, eligibility)
     permitted = last = None
@@ -204,9 +204,9 @@
 )
 def needs_permit(context):
     @forall(st.booleans(), SENDS, NUMBERS, NUMBERS)
-    def check(may_repeat, replies, named, closed):
-        ran, used_up, _ = play_limited(may_repeat, replies, named, closed)
-        assert not set(ran) & {f"e{n}" for n in named & closed}
+    def check(may_repeat, replies, with_limit, in_backoff):
+        ran, used_up, _ = play_limited(may_repeat, replies, with_limit, in_backoff)
+        assert not set(ran) & {f"e{n}" for n in with_limit & in_backoff}
         assert len(ran) <= (2 if may_repeat else 1) and len(set(used_up)) == len(used_up)
 
     check()
@@ -215,8 +215,8 @@
 @then("it is refused as not executed only if it has not run, with the time until there is room")
 def refused_truly(context):
     @forall(st.booleans(), SENDS, NUMBERS, NUMBERS)
-    def check(may_repeat, replies, named, closed):
-        ran, _, end = play_limited(may_repeat, replies, named, closed)
+    def check(may_repeat, replies, with_limit, in_backoff):
+        ran, _, end = play_limited(may_repeat, replies, with_limit, in_backoff)
         if isinstance(end, Refuse):
             assert end.not_run == (not ran), (ran, end)
 
@@ -253,11 +253,11 @@
 
 
 @then("it is refused at once if all engines are in backoff, or waits if there is room in time")
-def places_closed(context):
+def engines_in_backoff(context):
     decoders, readers = endpoints(2, Role.DECODE, "d"), endpoints(1, Role.PREFILL, "p")
     for after_ms, expected in ((2000, refused(1500)), (20, Wait(HOLD_POLL_MS))):
-        closed_ms = {"d0": after_ms, "d1": min(after_ms, 1500)}
-        pools = Pools(decoders, readers, limited_to(set(closed_ms), closed_ms))
+        backoff_ms = {"d0": after_ms, "d1": min(after_ms, 1500)}
+        pools = Pools(decoders, readers, limited_to(set(backoff_ms), backoff_ms))
         command = generation_core.step(generation(), Begin(), pools, wide_budget(), 0)
         assert command == expected, command
     half = Pools(decoders, readers, limited_to({"d0"}, {"d0": 2000}))
@@ -269,7 +269,7 @@
     "if the prefill engine has no room the decode engine runs the prefill, and no prefill is "
     "counted"
 )
-def reader_closed(context):
+def prefill_in_backoff(context):
     decoders, readers = endpoints(1, Role.DECODE, "d"), endpoints(1, Role.PREFILL, "p")
     open_pools, state = Pools(decoders, readers), generation()
     taken = HoldTaken(KvHold(decoders[0], "h", 2000))
@@ -278,12 +278,12 @@
     unread = ReadFailed("p0", broken=False, sent=False)
     command = generation_core.step(state, unread, open_pools, wide_budget(), 0)
     assert command == OpenStream(decoders[0]) and state.reads == 0
-    closed = Pools(decoders, readers, limited_to({"p0"}, {"p0": 500}))
-    command = generation_core.step(generation(), taken, closed, wide_budget(), 0)
+    in_backoff = Pools(decoders, readers, limited_to({"p0"}, {"p0": 500}))
+    command = generation_core.step(generation(), taken, in_backoff, wide_budget(), 0)
     assert command == OpenStream(decoders[0])
 
 
-WORDS = st.builds(
+ANSWERS = st.builds(
     AdvertisedLimit,
     per_s=st.sampled_from([None, 1.0, 2.4]),
     sent_ms=st.integers(0, 50),
@@ -293,16 +293,16 @@
 
 @then("only a later answer ends a limit, in whatever order answers arrive")
 def ends_truly(context):
-    @forall(st.lists(WORDS, max_size=12))
-    def check(words):
-        table, named_ms = LimitTable(), None
-        for now_ms, word in enumerate(words, 40):
-            table.record_answer("e", word, now_ms)
-            if word.per_s is not None:
-                named_ms, per_s = now_ms, word.per_s
-            elif word.ran and named_ms is not None and word.sent_ms > named_ms:
-                named_ms = None
-            assert table.find("e") == (None if named_ms is None else per_s)
+    @forall(st.lists(ANSWERS, max_size=12))
+    def check(answers):
+        table, limit_ms = LimitTable(), None
+        for now_ms, answer in enumerate(answers, 40):
+            table.record_answer("e", answer, now_ms)
+            if answer.per_s is not None:
+                limit_ms, per_s = now_ms, answer.per_s
+            elif answer.ran and limit_ms is not None and answer.sent_ms > limit_ms:
+                limit_ms = None
+            assert table.find("e") == (None if limit_ms is None else per_s)
 
     check()
 
@@ -336,8 +336,8 @@
 
 
 def read(*values):
-    named = [("server-limit", value) for value in values]
-    return read_limit(RawHead(200, [("request-id", "r1"), *named]), 7)
+    fields = [("server-limit", value) for value in values]
+    return read_limit(RawHead(200, [("request-id", "r1"), *fields]), 7)
 
 
 @then("a limit is a plain number, the smallest of several; any other value is ignored")
@@ -353,14 +353,14 @@
         assert not read_limit(RawHead(status, fields), 7).ran, status
     odd = ["", " ", "-1", "1e3", "nan", "inf", "²", "1,2", "9" * 400, "1_0", "0x1", "+1"]
     for text in odd:
-        word = read("2", text)
-        assert word.per_s is None and word.malformed is not None and len(word.malformed) < 50
+        answer = read("2", text)
+        assert answer.per_s is None and answer.malformed is not None and len(answer.malformed) < 50
 
     @forall(st.text(st.characters(max_codepoint=255), max_size=30))
     def check(text):
-        word = read(text)
-        assert (word.per_s is None) == (word.malformed is not None)
-        assert word.per_s is None or 0 <= word.per_s < 1e15
+        answer = read(text)
+        assert (answer.per_s is None) == (answer.malformed is not None)
+        assert answer.per_s is None or 0 <= answer.per_s < 1e15
 
     check()
 
