--- a/saffronworks/tests/concurrent_runs.py
+++ b/saffronworks/tests/concurrent_runs.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable, is_quarantined
 from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at
 
-__all__ = ["Habits", "Outcome", "play_service"]
+__all__ = ["Traffic", "Outcome", "play_service"]
 
 STEP_MS = 10
 RUN_MS = 2800
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Habits:
+class Traffic:
     """Runs per request, interval of the crashing content, and downtime of an endpoint."""
 
     most_runs: int = 2
@@ -52,8 +52,8 @@
 
 
 class _Service:
-    def __init__(self, endpoints, runs_each, seed, habits):
-        self.habits = habits
+    def __init__(self, endpoints, runs_each, seed, traffic):
+        self.traffic = traffic
         self.rng = random.Random(seed)
         self.runs = [[] for _ in range(endpoints)]
         self.down_until_ms = [0] * endpoints
@@ -70,7 +70,7 @@
             self.runs[fewest].append(run)
 
     def send(self, content, now_ms, runs_left=None, returns=True):
-        runs_left = runs_left or self.habits.most_runs
+        runs_left = runs_left or self.traffic.most_runs
         takes_ms = self.rng.randint(30, 280) if content == CRASHING else RUN_MS
         self.place(_Run(content, now_ms + takes_ms, runs_left - 1, returns), now_ms)
 
@@ -79,7 +79,7 @@
         self.starts += 1
         instance = endpoint_at(self.starts).instance
         broken, self.runs[index] = self.runs[index], []
-        self.down_until_ms[index] = now_ms + self.habits.down_ms
+        self.down_until_ms[index] = now_ms + self.traffic.down_ms
         for run in broken:
             self.news.append((now_ms + KNOWN_AFTER_MS, run.content, instance))
             self.broken[run.content] = self.broken.get(run.content, 0) + 1
@@ -96,7 +96,7 @@
         for _, content in [b for b in self.back if b[0] <= now_ms]:
             self.send(content, now_ms, returns=False)
         self.back = [b for b in self.back if b[0] > now_ms]
-        if now_ms % self.habits.comes_every_ms == 0 and now_ms >= RUN_MS:
+        if now_ms % self.traffic.comes_every_ms == 0 and now_ms >= RUN_MS:
             self.send(CRASHING, now_ms)
         while self.rng.random() < self.arrivals - (self.number - self.arrivals * now_ms / STEP_MS):
             self.number += 1
@@ -110,9 +110,9 @@
                 self.table.add_success(run.content, now_ms)
 
 
-def play_service(endpoints, runs_each, seed, habits):
+def play_service(endpoints, runs_each, seed, traffic):
     """Simulate a service until its crashing content is quarantined, and return the counts."""
-    service = _Service(endpoints, runs_each, seed, habits)
+    service = _Service(endpoints, runs_each, seed, traffic)
     for now_ms in range(0, PLAYED_MS, STEP_MS):
         service.step(now_ms)
     others = {content: count for content, count in service.broken.items() if content != CRASHING}
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -45,7 +45,7 @@
 )
 from saffronworks.forwarding.runners import NodeState
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.tests.concurrent_runs import Habits, play_service
+from saffronworks.tests.concurrent_runs import Traffic, play_service
 from saffronworks.tests.endpoint_plays import REPLY_KINDS, endpoints, head_of, wide_budget
 from saffronworks.tests.generation_plays import POOLS, generation
 from saffronworks.tests.quarantine_plays import CRASHING, endpoint_at, quarantined_fleet
@@ -246,8 +246,8 @@
     "few requests that ran beside a crashing content are quarantined, and those have an early trial"
 )
 def requests_beside(context):
-    often, seldom = Habits(), Habits(most_runs=3, comes_every_ms=1000)
-    for habits, count, runs_each, most_of_100 in (
+    often, seldom = Traffic(), Traffic(most_runs=3, comes_every_ms=1000)
+    for traffic, count, runs_each, most_of_100 in (
         (often, 4, 16, 0),
         (often, 16, 32, 0),
         (seldom, 4, 8, 4),
@@ -255,11 +255,11 @@
         (seldom, 16, 8, 0),
         (seldom, 45, 16, 0),
     ):
-        played = [play_service(count, runs_each, seed, habits) for seed in SEEDS]
+        played = [play_service(count, runs_each, seed, traffic) for seed in SEEDS]
         broken = sum(one.broken for one in played)
         wrongly = sum(one.quarantined for one in played)
         assert broken > 50 and all(one.ends >= ENDS_TO_QUARANTINE for one in played), played
-        assert 100 * wrongly <= most_of_100 * broken, (habits, count, runs_each, broken, wrongly)
+        assert 100 * wrongly <= most_of_100 * broken, (traffic, count, runs_each, broken, wrongly)
     state = new_state()
     state.update_nodes(["n1"])
     for content in ("beside", CRASHING):
