--- a/saffronworks/tests/crashing_servers.py
+++ b/saffronworks/tests/crashing_servers.py
@@ -41,9 +41,9 @@
         # Whether the caller receives the head of an answer and one event before the crash.
         self.head_first = False
         # Whether the server has been fixed and runs all contents.
-        self.mended = False
+        self.fixed = False
         # Whether a prefill of the content crashes the server as well.
-        self.ends_reading = False
+        self.crashes_on_prefill = False
         self._writers = set()
         self._over = asyncio.Event()
 
@@ -74,10 +74,10 @@
             self._writers.discard(writer)
 
     async def _request(self, reader, writer, headers):
-        if self.mended or CRASHING not in self.seen[-1][3]:
+        if self.fixed or CRASHING not in self.seen[-1][3]:
             return await super()._request(reader, writer, headers)
         self.arrivals.sends_s.append(time.monotonic())
-        if headers.get("stage") == "prefill" and not self.ends_reading:
+        if headers.get("stage") == "prefill" and not self.crashes_on_prefill:
             return await super()._request(reader, writer, headers)
         if self.head_first:
             own = {"Request-Id": headers["request-id"], "Server-Stamp": "s"}
--- a/saffronworks/tests/features/steps/quarantine_steps.py
+++ b/saffronworks/tests/features/steps/quarantine_steps.py
@@ -128,13 +128,13 @@
 
 
 @when("a prompt crashes each of four engines that prefill it")
-def ends_reading(context):
+def crashes_reading(context):
     # The next engine may start the prefill before the crash of the one before is detected.
     context.max_crashes = 4
     context.arrivals = arrivals = Arrivals()
     readers = [CrashingServer(f"p{index}", "llm", "prefill", arrivals) for index in range(4)]
     for reader in readers:
-        reader.ends_reading = True
+        reader.crashes_on_prefill = True
     # Decode engines would run the prefill when prefill engines fail; these reject all requests.
     decoders = [FakeServer(f"d{index}", "llm", "decode") for index in range(2)]
     for decoder in decoders:
@@ -234,7 +234,7 @@
     assert [(found.content, found.ended) for found in read] == [("good", ("e1@4", "e2@5", "e3"))]
 
 
-def try_again(path, servers, mended):
+def try_quarantined(path, servers, fixed):
     """Quarantine a content, let its trial become due, and return the answers and crashes then."""
     arrivals = servers[0].arrivals
     seen = {}
@@ -255,7 +255,7 @@
         await anyio.sleep(1)
         before = len(arrivals.ends_s)
         for server in servers:
-            server.mended = mended
+            server.fixed = fixed
         (entry,) = place.node._quarantine._state.table._entries.values()
         entry.changed_ms -= TRIAL_AFTER_MS
         seen["raw"] = [await ask(f"t{number}") for number in range(3)]
@@ -265,18 +265,18 @@
     return seen
 
 
-def trials(mended):
+def trials(fixed):
     plains, engines_ = Arrivals(), Arrivals()
     webs = [CrashingServer(f"w{index}", "web", None, plains) for index in range(4)]
     return [
-        try_again("/res/", crashing_engines(engines_), mended),
-        try_again("/again/a", webs, mended),
+        try_quarantined("/res/", crashing_engines(engines_), fixed),
+        try_quarantined("/again/a", webs, fixed),
     ]
 
 
 @then("a generation and a plain request are tried at one endpoint, and refused after it crashes")
 def tried_in_vain(context):
-    for seen in trials(mended=False):
+    for seen in trials(fixed=False):
         first, *later = seen["raw"]
         assert seen["ends"] == 1, seen
         assert first.startswith(b"HTTP/1.1 502 "), seen
@@ -285,6 +285,6 @@
 
 @then("both are served once their endpoints are fixed")
 def tried_well(context):
-    for seen in trials(mended=True):
+    for seen in trials(fixed=True):
         assert seen["ends"] == 0, seen
         assert all(raw.startswith(b"HTTP/1.1 200 ") for raw in seen["raw"]), seen
