--- a/saffronworks/tests/features/endpoint_limits.feature
+++ b/saffronworks/tests/features/endpoint_limits.feature
@@ -50,7 +50,7 @@
     And it gets at least <least> of its limit
 
     Examples: no faults
-      | nodes | busy | per_s | fault          | least |
+      | nodes | busy | per_s | fault           | least |
       | 8     | 8    | 1     | no fault occurs | 0.8   |
       | 8     | 1    | 1     | no fault occurs | 0.8   |
       | 8     | 8    | 10    | no fault occurs | 0.8   |
@@ -61,16 +61,16 @@
       | 195   | 20   | 10    | no fault occurs | 0.8   |
 
     Examples: nodes with faults
-      | nodes | busy | per_s | fault                           | least |
-      | 8     | 8    | 1     | all holders crash               | 0.8   |
-      | 8     | 8    | 2.4   | half of the nodes crash         | 0.8   |
-      | 60    | 60   | 1     | half of the nodes crash         | 0.8   |
-      | 60    | 60   | 2.4   | all holders crash               | 0.8   |
-      | 60    | 60   | 1     | two holders freeze              | 0.8   |
-      | 60    | 60   | 2.4   | a third is partitioned off      | 0.8   |
-      | 195   | 195  | 1     | a third is isolated             | 0.8   |
-      | 195   | 195  | 2.4   | half of the nodes crash         | 0.8   |
-      | 195   | 195  | 10    | the halves are partitioned      | 0.8   |
+      | nodes | busy | per_s | fault                      | least |
+      | 8     | 8    | 1     | all holders crash          | 0.8   |
+      | 8     | 8    | 2.4   | half of the nodes crash    | 0.8   |
+      | 60    | 60   | 1     | half of the nodes crash    | 0.8   |
+      | 60    | 60   | 2.4   | all holders crash          | 0.8   |
+      | 60    | 60   | 1     | two holders freeze         | 0.8   |
+      | 60    | 60   | 2.4   | a third is partitioned off | 0.8   |
+      | 195   | 195  | 1     | a third is isolated        | 0.8   |
+      | 195   | 195  | 2.4   | half of the nodes crash    | 0.8   |
+      | 195   | 195  | 10    | the halves are partitioned | 0.8   |
 
   Scenario: overlapping faults of all kinds
     Then in no 4 s are more requests sent than tolerated, whatever nodes crash, freeze or are partitioned
--- a/saffronworks/tests/features/quotas.feature
+++ b/saffronworks/tests/features/quotas.feature
@@ -32,7 +32,7 @@
     And at most <refused> in 1,000 requests of organisations within their quota are refused
 
     Examples: no faults
-      | nodes | organisation | times | fault          | refused |
+      | nodes | organisation | times | fault           | refused |
       | 8     | the largest  | 7.5   | no fault occurs | 0       |
       | 60    | the largest  | 7.5   | no fault occurs | 0       |
       | 60    | a middle one | 7.5   | no fault occurs | 0       |
@@ -40,17 +40,17 @@
       | 195   | the largest  | 7.5   | no fault occurs | 0       |
 
     Examples: nodes that crash or freeze
-      | nodes | organisation | times | fault                      | refused |
-      | 60    | the largest  | 7.5   | one holder crashes         | 1       |
-      | 60    | the largest  | 7.5   | all holders crash          | 1       |
-      | 60    | the largest  | 7.5   | half of the nodes crash    | 1       |
-      | 60    | the largest  | 7.5   | one holder freezes         | 1       |
+      | nodes | organisation | times | fault                   | refused |
+      | 60    | the largest  | 7.5   | one holder crashes      | 1       |
+      | 60    | the largest  | 7.5   | all holders crash       | 1       |
+      | 60    | the largest  | 7.5   | half of the nodes crash | 1       |
+      | 60    | the largest  | 7.5   | one holder freezes      | 1       |
 
     Examples: partitions; nodes that reach no holder refuse more
-      | nodes | organisation | times | fault                         | refused |
-      | 60    | the largest  | 7.5   | a third is partitioned off    | 30      |
-      | 60    | the largest  | 7.5   | the halves are partitioned      | 30    |
-      | 60    | the largest  | 7.5   | a third is isolated           | 60      |
+      | nodes | organisation | times | fault                      | refused |
+      | 60    | the largest  | 7.5   | a third is partitioned off | 30      |
+      | 60    | the largest  | 7.5   | the halves are partitioned | 30      |
+      | 60    | the largest  | 7.5   | a third is isolated        | 60      |
 
   Scenario Outline: holders that leave, noticed by nodes at different times
     Given a simulated fleet of <nodes> nodes
