--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -82,14 +82,14 @@
 def duty_lost(context):
     for state in (context.holder, context.other):
         for now_ms in range(0, RESTORED_MS, 500):
-            roles.step(state, roles.Probe([]), now_ms)
+            roles.step(state, roles.Look([]), now_ms)
         roles.step(state, roles.StoreRestored(), RESTORED_MS)
 
 
 def first_ask(state, engines, from_ms):
     """The command by which a node asks for the duty, and when."""
     for now_ms in range(from_ms, from_ms + 60_000, 100):
-        command = roles.step(state, roles.Probe(engines), now_ms)
+        command = roles.step(state, roles.Look(engines), now_ms)
         if command is not None:
             return command, now_ms
     raise AssertionError("never asked")
