--- a/saffronworks/tests/features/endpoint_limits.feature
+++ b/saffronworks/tests/features/endpoint_limits.feature
@@ -91,7 +91,7 @@
 
   Scenario: propagation of a limit and of its end
     Given a fleet of 195 nodes, 20 of them with callers, and an endpoint that takes 2 requests per second
-    When it advertises that limit while nothing occurs
+    When it advertises that limit while no fault occurs
     Then a second later nearly all nodes have it
     And two seconds after the limit ends it gets nearly all requests
 
