--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -288,7 +288,7 @@
 
 def _log_timeout(request_id: str, ask: Ask, node: str) -> None:
     logger.info(
-        "event=limit_holder_unanswered request=%s endpoint=%s holder=%s after_ms=%d",
+        "event=limit_holder_silent request=%s endpoint=%s holder=%s after_ms=%d",
         request_id,
         ask.subject,
         node,
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -187,7 +187,7 @@
 
 def _log_timeout(request_id: str, ask: Ask, node: str) -> None:
     logger.info(
-        "event=quota_holder_unanswered request=%s organisation=%s holder=%s after_ms=%d",
+        "event=quota_holder_silent request=%s organisation=%s holder=%s after_ms=%d",
         request_id,
         ask.subject,
         node,
