--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -16,13 +16,7 @@
 from saffronworks.forwarding.generation_state import Out
 from saffronworks.forwarding.identity import Identities
 from saffronworks.forwarding.loads import LoadTable
-from saffronworks.forwarding.messages import (
-    ENDS_ENDPOINTS,
-    Begin,
-    CallerRequest,
-    KvHandle,
-    KvHold,
-)
+from saffronworks.forwarding.messages import ENDS_ENDPOINTS, Begin, CallerRequest, KvHandle, KvHold
 from saffronworks.forwarding.planning import messages as planning_messages
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine import messages as quarantine_messages
@@ -75,8 +69,8 @@
 
 
 def message_at(state, now_ms):
-    (message,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
-    return message.news
+    (command,) = [c for c in step(state, events.Tick(), now_ms) if isinstance(c, events.SendNews)]
+    return command.news
 
 
 @then(
@@ -96,13 +90,11 @@
     last_ms = 100 + 3 * MAX_SUSPICIONS
     judged = [state.table.admission(f"{number:031x}b", last_ms) for number in range(30)]
     assert Admission.ALLOWED not in judged
-    message = message_at(state, last_ms)
-    assert (
-        len(message.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(message)) < 3500
-    )
-    message = message_at(state, last_ms + RECENT_CHANGE_MS + 1)
-    most_bytes_s = len(codec.encode(message)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
-    assert len(message.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
+    news = message_at(state, last_ms)
+    assert len(news.suspicions) == MAX_SUSPICIONS_PER_MESSAGE and len(codec.encode(news)) < 3500
+    news = message_at(state, last_ms + RECENT_CHANGE_MS + 1)
+    most_bytes_s = len(codec.encode(news)) * 1000 / IDLE_GOSSIP_INTERVAL_MS
+    assert len(news.suspicions) == MAX_SUSPICIONS_PER_MESSAGE // 2 and most_bytes_s < 4000, (
         most_bytes_s
     )
 
