--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.quarantine.messages import Suspicion
 from saffronworks.forwarding.quarantine.tuning import (
-    EARLY_TRIAL_AFTER_MS,
+    EARLY_TRIAL_MS,
     ENDS_TO_QUARANTINE,
     KEEP_QUARANTINED_MS,
     KEEP_SUSPECT_MS,
@@ -107,7 +107,7 @@
         if entry is None or not is_quarantined(entry.suspicion):
             return Admission.ALLOWED
         quarantined_ms, trials = now_ms - entry.changed_ms, entry.suspicion.trials
-        if quarantined_ms < EARLY_TRIAL_AFTER_MS:
+        if quarantined_ms < EARLY_TRIAL_MS:
             return Admission.REFUSED
         if self._all_ends_shared(entry.suspicion):
             due = trials == 0 or quarantined_ms >= TRIAL_AFTER_MS
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -18,7 +18,7 @@
 TRIAL_AFTER_MS = 600_000
 # A content whose ends all count against other contents too may be innocent, so its first trial
 # comes early; later ones follow at the interval above.
-EARLY_TRIAL_AFTER_MS = 3000
+EARLY_TRIAL_MS = 3000
 # A quarantine ends after a day, when callers have fixed their programs or given up.
 KEEP_QUARANTINED_MS = 86_400_000
 # One or two ends expire after this long; runs beside the crash have succeeded by then.
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -26,7 +26,7 @@
 from saffronworks.forwarding.quarantine.service import Quarantine
 from saffronworks.forwarding.quarantine.suspicions import Admission, SuspicionTable
 from saffronworks.forwarding.quarantine.tuning import (
-    EARLY_TRIAL_AFTER_MS,
+    EARLY_TRIAL_MS,
     ENDS_TO_QUARANTINE,
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS,
@@ -256,8 +256,8 @@
     state.update_nodes(["n1"])
     for content in ("beside", CRASHING):
         record_ends(state, content, 1, 2, 3)
-    assert state.admission("beside", EARLY_TRIAL_AFTER_MS - 1) is Admission.REFUSED
-    assert state.admission("beside", EARLY_TRIAL_AFTER_MS) is Admission.TRIAL
+    assert state.admission("beside", EARLY_TRIAL_MS - 1) is Admission.REFUSED
+    assert state.admission("beside", EARLY_TRIAL_MS) is Admission.TRIAL
 
 
 @then("only an owner admits it, once after ten minutes, to one endpoint")
@@ -285,7 +285,7 @@
     for content in contents:
         record_ends(state, content, *rng.sample(range(1, 13), 3))
     record_ends(state, CRASHING, 1, 2, 50)
-    now_ms = EARLY_TRIAL_AFTER_MS
+    now_ms = EARLY_TRIAL_MS
     for _ in range(3):
         admissions = {state.admission(content, now_ms) for content in contents}
         assert admissions == {Admission.TRIAL}, admissions
@@ -293,9 +293,7 @@
         for content in contents:
             step(state, events.TrialStarted(content), now_ms)
             record_ends(state, content, rng.randint(1, 12), now_ms=now_ms)
-        admissions = {
-            state.admission(content, now_ms + EARLY_TRIAL_AFTER_MS) for content in contents
-        }
+        admissions = {state.admission(content, now_ms + EARLY_TRIAL_MS) for content in contents}
         assert admissions == {Admission.REFUSED}, admissions
         now_ms += TRIAL_AFTER_MS
         # The crashing content has its own trial meanwhile, and crashes one more endpoint.
