--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -50,7 +50,7 @@
     RECENT_CHANGE_MS,
     REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
-    SILENT_PROBE_INTERVAL_MS,
+    REPROBE_SILENT_MS,
     SILENT_PROBES,
 )
 from saffronworks.forwarding.starts import StartId
@@ -167,7 +167,7 @@
     if event.found is ProbeResult.REFUSES and probe.refused < REFUSED_PROBES:
         return [Probe(probe.endpoint, REFUSED_PROBE_INTERVAL_MS)]
     if event.found is ProbeResult.SILENT and probe.silent < SILENT_PROBES:
-        return [Probe(probe.endpoint, SILENT_PROBE_INTERVAL_MS)]
+        return [Probe(probe.endpoint, REPROBE_SILENT_MS)]
     del state.probes[event.instance]
     if event.found is not ProbeResult.REFUSES and not event.found.proves_end:
         return []
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -12,7 +12,7 @@
 # A silent endpoint may be partitioned from this node alone. It is probed until it answers or the
 # store no longer lists it, which takes three heartbeats of about 1.2 s.
 SILENT_PROBES = 6
-SILENT_PROBE_INTERVAL_MS = 1000
+REPROBE_SILENT_MS = 1000
 # A quarantined content is tried at one endpoint after this long. A success serves its caller
 # again; a further crash keeps the content quarantined.
 TRIAL_AFTER_MS = 600_000
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -33,7 +33,7 @@
     MAX_SUSPICIONS_PER_MESSAGE,
     RECENT_CHANGE_MS,
     REFUSED_PROBE_INTERVAL_MS,
-    SILENT_PROBE_INTERVAL_MS,
+    REPROBE_SILENT_MS,
     SILENT_PROBES,
     TRIAL_AFTER_MS,
 )
@@ -134,9 +134,7 @@
         for number, seen in enumerate(found, 1):
             commands = step(state, events.ProbeFinished(instance, seen), 300)
             pause_ms = (
-                SILENT_PROBE_INTERVAL_MS
-                if seen is ProbeResult.SILENT
-                else REFUSED_PROBE_INTERVAL_MS
+                REPROBE_SILENT_MS if seen is ProbeResult.SILENT else REFUSED_PROBE_INTERVAL_MS
             )
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
