--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -48,8 +48,8 @@
     IDLE_GOSSIP_INTERVAL_MS,
     MAX_SUSPICIONS_PER_MESSAGE,
     RECENT_CHANGE_MS,
-    REFUSED_PROBE_INTERVAL_MS,
     REFUSED_PROBES,
+    REPROBE_REFUSED_MS,
     REPROBE_SILENT_MS,
     SILENT_PROBES,
 )
@@ -165,7 +165,7 @@
     probe.refused += event.found is ProbeResult.REFUSES
     probe.silent += event.found is ProbeResult.SILENT
     if event.found is ProbeResult.REFUSES and probe.refused < REFUSED_PROBES:
-        return [Probe(probe.endpoint, REFUSED_PROBE_INTERVAL_MS)]
+        return [Probe(probe.endpoint, REPROBE_REFUSED_MS)]
     if event.found is ProbeResult.SILENT and probe.silent < SILENT_PROBES:
         return [Probe(probe.endpoint, REPROBE_SILENT_MS)]
     del state.probes[event.instance]
--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -8,7 +8,7 @@
 # An endpoint counts as ended after this many refused probes. An overloaded endpoint refuses some
 # connections, and one that crashed takes at least a second to return.
 REFUSED_PROBES = 2
-REFUSED_PROBE_INTERVAL_MS = 200
+REPROBE_REFUSED_MS = 200
 # A silent endpoint may be partitioned from this node alone. It is probed until it answers or the
 # store no longer lists it, which takes three heartbeats of about 1.2 s.
 SILENT_PROBES = 6
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -32,7 +32,7 @@
     MAX_SUSPICIONS,
     MAX_SUSPICIONS_PER_MESSAGE,
     RECENT_CHANGE_MS,
-    REFUSED_PROBE_INTERVAL_MS,
+    REPROBE_REFUSED_MS,
     REPROBE_SILENT_MS,
     SILENT_PROBES,
     TRIAL_AFTER_MS,
@@ -133,9 +133,7 @@
         assert step(state, broke(), 0) == [events.Probe(endpoint_at(1), 0)]
         for number, seen in enumerate(found, 1):
             commands = step(state, events.ProbeFinished(instance, seen), 300)
-            pause_ms = (
-                REPROBE_SILENT_MS if seen is ProbeResult.SILENT else REFUSED_PROBE_INTERVAL_MS
-            )
+            pause_ms = REPROBE_SILENT_MS if seen is ProbeResult.SILENT else REPROBE_REFUSED_MS
             again = [events.Probe(endpoint_at(1), pause_ms)]
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(CRASHING) is not None) is shows, found
