--- a/saffronworks/platform/answer_fields.py
+++ b/saffronworks/platform/answer_fields.py
@@ -18,7 +18,7 @@
     "NOT_EXECUTED_FIELD",
     "SIGNATURE_FIELD",
     "UnknownFields",
-    "is_refusal",
+    "is_not_executed",
     "read_advertisement",
     "read_limit",
 ]
@@ -71,7 +71,7 @@
 }
 
 
-def is_refusal(raw: RawHead) -> bool:
+def is_not_executed(raw: RawHead) -> bool:
     """Whether the server says that it did not run the request."""
     values = {
         value.strip(" \t").lower() for key, value in raw.fields if key.lower() == NOT_EXECUTED_FIELD
@@ -107,7 +107,7 @@
 ) -> AdvertisedLimit:
     # A failure, or an answer that may not be the server's own, doesn't tell that its need is over.
     own = raw.status < 500 and raw.get(ID_FIELD) is not None
-    ran = request and own and not is_refusal(raw)
+    ran = request and own and not is_not_executed(raw)
     if _LIMIT not in values:
         return AdvertisedLimit(None, sent_ms, ran)
     read = [read_decimal(value) for value in values[_LIMIT]]
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -31,7 +31,7 @@
     NOT_EXECUTED_FIELD,
     SIGNATURE_FIELD,
     UnknownFields,
-    is_refusal,
+    is_not_executed,
     read_advertisement,
 )
 
@@ -331,7 +331,7 @@
 
 
 def _decode_head(raw: RawHead) -> AnswerHead:
-    refused = is_refusal(raw)
+    refused = is_not_executed(raw)
     # Callers asked for no encoding: an encoded body is not the endpoint's own.
     whose = raw.get(ID_FIELD) is not None and raw.get(SIGNATURE_FIELD) is not None
     signed = whose and raw.get("content-encoding") is None
--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.connections import RawHead
 from saffronworks.forwarding.messages import Begin, Refuse
 from saffronworks.forwarding.plain_core import promises_not_run
-from saffronworks.platform.answer_fields import is_refusal
+from saffronworks.platform.answer_fields import is_not_executed
 from saffronworks.tests.endpoint_plays import endpoints, wide_budget
 from saffronworks.tests.rejection_plays import (
     GENERATION_TURNS,
@@ -66,9 +66,9 @@
 def denied(context):
     for values in (["0"], ["false"], [" No "], ["1", "0"]):
         raw = RawHead(503, [("Not-Executed", value) for value in values])
-        assert not is_refusal(raw), values
-    assert is_refusal(RawHead(503, [("Not-Executed", "1")]))
-    assert is_refusal(RawHead(421, []))
+        assert not is_not_executed(raw), values
+    assert is_not_executed(RawHead(503, [("Not-Executed", "1")]))
+    assert is_not_executed(RawHead(421, []))
 
 
 def check_path(streams):
