--- a/saffronworks/platform/answer_fields.py
+++ b/saffronworks/platform/answer_fields.py
@@ -1,4 +1,4 @@
-"""Fields of a server's answer: what each is read for, and what it says about the server."""
+"""Header fields of a server's answer, and what they state about the server."""
 
 import logging
 import math
@@ -26,91 +26,93 @@
 logger = logging.getLogger(__name__)
 
 ID_FIELD = "Request-Id"
-# The server's signature over its answer; without it a success is not the server's.
+# The server's signature over its answer. A success without it did not come from the server.
 SIGNATURE_FIELD = "server-stamp"
 NOT_EXECUTED_FIELD = "not-executed"
-# The name of the server that answers.
+# Name of the answering server.
 INSTANCE_FIELD = "instance-id"
-# The requests a second that a server in need takes from all nodes together.
-_LIMIT = "server-limit"
-# The server drains.
-_LEAVING = "server-leaving"
-# For how long a server that rejects a request wants none of this node.
-_RETRY_AFTER = "retry-after"
+# Requests per second that an overloaded server accepts from all nodes together.
+_LIMIT_FIELD = "server-limit"
+# 1 while the server drains.
+_DRAINING_FIELD = "server-leaving"
+# How long this node must send no requests to a server that rejected one.
+_RETRY_AFTER_FIELD = "retry-after"
 _MISDIRECTED = 421
-_REJECTED = (429, 503)
-# Values of the field by which a server says that it did run the request.
-_DENIALS = frozenset(["0", "false", "no"])
+_REJECTION_STATUSES = (429, 503)
+# Values of `not-executed` that state that the request did run.
+_EXECUTED_VALUES = frozenset(["0", "false", "no"])
 _DRAINING_VALUES = {"1": True, "0": False}
-# Named pauses are cut to this, as nobody could take back a mistaken one.
+# Longer pauses are cut to this: a server can't withdraw a pause that it sent by mistake.
 MAX_PAUSE_MS = 3_600_000
-_ADVERTISED = frozenset([_LIMIT, _LEAVING, _RETRY_AFTER])
+_ADVERTISED = frozenset([_LIMIT_FIELD, _DRAINING_FIELD, _RETRY_AFTER_FIELD])
 _Values = dict[str, list[str]]
 _HTTP_DATE = "%a, %d %b %Y %H:%M:%S GMT"
 
-# Every field that servers set in answers, and what reads it. A field that is not here is logged.
+# All header fields that servers set in answers, and what reads each. Other fields are logged.
 ANSWER_FIELDS = {
-    ID_FIELD.lower(): "connections: whose answer it is",
-    SIGNATURE_FIELD: "calls: whether the server vouches for the answer",
-    NOT_EXECUTED_FIELD: "calls: the request has not run",
-    INSTANCE_FIELD: "calls: which server has the address, on a 421",
-    _LIMIT: "read_limit: requests a second from all nodes",
-    _LEAVING: "read_advertisement: the server drains",
-    _RETRY_AFTER: "read_advertisement: a pause for this node",
-    "connection": "connections: whether another request may follow",
+    ID_FIELD.lower(): "connections: the request that is answered",
+    SIGNATURE_FIELD: "calls: whether the answer is signed by the server",
+    NOT_EXECUTED_FIELD: "calls: whether the request has run",
+    INSTANCE_FIELD: "calls: the server at this address, on a 421",
+    _LIMIT_FIELD: "read_limit: requests per second from all nodes",
+    _DRAINING_FIELD: "read_advertisement: whether the server drains",
+    _RETRY_AFTER_FIELD: "read_advertisement: a pause for this node",
+    "connection": "connections: whether the connection can be reused",
     "keep-alive": "connections: how long an idle connection is kept",
     "content-length": "connections: framing",
     "transfer-encoding": "connections: framing",
-    "content-encoding": "calls: an encoded body is not the server's own",
+    "content-encoding": "calls: an encoded body was not made by the server",
     "content-type": "passed on to the caller",
     "date": "passed on to the caller",
     "server": "passed on to the caller",
     "cache-control": "passed on to the caller",
-    "weight-versions": "passed on to the caller; no request asks for a version",
-    "cold-ms": "set in health answers only, which are not asked for",
+    "weight-versions": "passed on to the caller; requests never select a version",
+    "cold-ms": "set in answers to health checks only, which nodes never send",
 }
 
 
 def is_not_executed(raw: RawHead) -> bool:
-    """Whether the server says that it did not run the request."""
+    """Return whether the server states that it did not run the request."""
     values = {
         value.strip(" \t").lower() for key, value in raw.fields if key.lower() == NOT_EXECUTED_FIELD
     }
-    return not values & _DENIALS and (bool(values) or raw.status == _MISDIRECTED)
+    return not values & _EXECUTED_VALUES and (bool(values) or raw.status == _MISDIRECTED)
 
 
 def read_advertisement(
-    raw: RawHead, sent_ms: int, wall_ms: int, ran: bool = True
+    raw: RawHead, sent_ms: int, wall_ms: int, is_request: bool = True
 ) -> Advertisement | None:
-    """What an answer to a request of `sent_ms` says about its server; `wall_ms` is Unix time now.
+    """Return what an answer states about its server, or None if another server has the address.
 
-    `ran` is false for a call that is no request. None where another server has the address.
+    `sent_ms` is the monotonic time at which the call was sent, `wall_ms` the Unix time now.
+    `is_request` is false for the node's own calls, such as the release of a reservation.
     """
     if raw.status == _MISDIRECTED:
         return None
     values = _advertised_values(raw)
-    limit = _read_limit(values, raw, sent_ms, ran)
-    if values.keys() <= {_LIMIT}:
+    limit = _read_limit(values, raw, sent_ms, is_request)
+    if values.keys() <= {_LIMIT_FIELD}:
         return Advertisement(limit)
-    draining, odd_draining = _read_draining(values)
-    pause_ms, odd_pause = _read_pause_ms(values, raw.status, wall_ms)
-    return Advertisement(limit, draining, pause_ms, (*odd_draining, *odd_pause))
+    draining, malformed_draining = _read_draining(values)
+    pause_ms, malformed_pause = _read_pause_ms(values, raw.status, wall_ms)
+    return Advertisement(limit, draining, pause_ms, (*malformed_draining, *malformed_pause))
 
 
 def read_limit(raw: RawHead, sent_ms: int) -> AdvertisedLimit:
-    """What an answer to a request of `sent_ms` says of the server's limit; of several the least."""
+    """Return the rate limit in an answer to a request sent at `sent_ms`; of several the lowest."""
     return _read_limit(_advertised_values(raw), raw, sent_ms)
 
 
 def _read_limit(
-    values: _Values, raw: RawHead, sent_ms: int, request: bool = True
+    values: _Values, raw: RawHead, sent_ms: int, is_request: bool = True
 ) -> AdvertisedLimit:
-    # A failure, or an answer that may not be the server's own, doesn't tell that its need is over.
-    own = raw.status < 500 and raw.get(ID_FIELD) is not None
-    ran = request and own and not is_not_executed(raw)
-    if _LIMIT not in values:
+    # An answer without the limit header ends the limit only if the request ran: not on a failure,
+    # nor without a request id, as the answer may then come from another party.
+    conclusive = raw.status < 500 and raw.get(ID_FIELD) is not None
+    ran = is_request and conclusive and not is_not_executed(raw)
+    if _LIMIT_FIELD not in values:
         return AdvertisedLimit(None, sent_ms, ran)
-    read = [read_decimal(value) for value in values[_LIMIT]]
+    read = [read_decimal(value) for value in values[_LIMIT_FIELD]]
     malformed = [value.err_value for value in read if isinstance(value, Err)]
     if malformed:
         return AdvertisedLimit(None, sent_ms, ran, malformed=", ".join(malformed))
@@ -119,7 +121,7 @@
 
 
 def _advertised_values(raw: RawHead) -> _Values:
-    """The values of the fields in which a server says something about itself, by their names."""
+    """Return the values of the header fields in which a server describes itself, by name."""
     values: _Values = {}
     for key, value in raw.fields:
         name = key.lower()
@@ -129,24 +131,28 @@
 
 
 def _read_draining(fields: _Values) -> tuple[bool, list[str]]:
-    """Whether the server drains, and what stands there in place of 0 or 1."""
-    values = [value.strip(" \t") for value in fields.get(_LEAVING, ())]
-    odd = [f"{_LEAVING}: {shorten(value)}" for value in values if value not in _DRAINING_VALUES]
-    return any(_DRAINING_VALUES.get(value, False) for value in values), odd
+    """Return whether the server drains, and the values that are neither 0 nor 1."""
+    values = [value.strip(" \t") for value in fields.get(_DRAINING_FIELD, ())]
+    malformed = [
+        f"{_DRAINING_FIELD}: {shorten(value)}" for value in values if value not in _DRAINING_VALUES
+    ]
+    return any(_DRAINING_VALUES.get(value, False) for value in values), malformed
 
 
 def _read_pause_ms(fields: _Values, status: int, wall_ms: int) -> tuple[int, list[str]]:
-    """The longest pause that a rejection names, and the values that name none."""
-    if status not in _REJECTED:
+    """Return the longest pause that a rejection requests, and the malformed values."""
+    if status not in _REJECTION_STATUSES:
         return 0, []
-    read = [_read_retry_after(value, wall_ms) for value in fields.get(_RETRY_AFTER, ())]
-    odd = [f"{_RETRY_AFTER}: {value.err_value}" for value in read if isinstance(value, Err)]
+    read = [_read_retry_after(value, wall_ms) for value in fields.get(_RETRY_AFTER_FIELD, ())]
+    malformed = [
+        f"{_RETRY_AFTER_FIELD}: {value.err_value}" for value in read if isinstance(value, Err)
+    ]
     named = [value.ok_value for value in read if isinstance(value, Ok)]
-    return min(max(named, default=0), MAX_PAUSE_MS), odd
+    return min(max(named, default=0), MAX_PAUSE_MS), malformed
 
 
 def _read_retry_after(value: str, wall_ms: int) -> Result[int, str]:
-    """In seconds, with or without a fraction, or as an HTTP date; else what was found."""
+    """Parse seconds, with or without a fraction, or an HTTP date, into milliseconds from now."""
     seconds = read_decimal(value)
     if isinstance(seconds, Ok):
         return Ok(math.ceil(1000 * seconds.ok_value))
@@ -158,16 +164,16 @@
 
 
 class UnknownFields:
-    """Fields of answers that nothing reads; each is logged once."""
+    """Logs header fields of answers that nothing reads, each name once."""
 
-    # Names that are remembered; a server that makes names up costs no more than these.
+    # Bounds the memory and the log lines that a server with random field names can cause.
     MAX_NAMES = 64
 
     def __init__(self) -> None:
         self.names: set[str] = set()
 
     def check(self, raw: RawHead, instance: str) -> None:
-        """Log the fields of an answer that are new."""
+        """Log the unknown fields of an answer that have not been logged yet."""
         for key, value in raw.fields:
             name = key.lower()
             if name in ANSWER_FIELDS or name in self.names or len(self.names) >= self.MAX_NAMES:
