--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's servers: header names, bodies, and what an answer says."""
+"""Calls to the platform's servers: header names, bodies and the decoding of answers."""
 
 import logging
 
@@ -39,13 +39,13 @@
 
 logger = logging.getLogger(__name__)
 
-# The sender expects the server of this name; any other one answers 421 and runs nothing.
-_EXPECT = "Expect-Instance"
-# The organisation that holds the caller's key; the platform calls it a tenant.
-_ORGANISATION = "Tenant"
+# Name of the server that the request is for. Any other server answers 421 and runs nothing.
+_EXPECT_INSTANCE = "Expect-Instance"
+# The organisation that owns the caller's key, called a tenant by the platform.
+_TENANT_FIELD = "Tenant"
 _MISDIRECTED = 421
-_ORDER_TAKEN = (200, 202)
-# Fields of an answer that belong to the connection, or that say something to this node only.
+_ORDER_ACCEPTED = (200, 202)
+# Header fields of an answer that are hop-by-hop or addressed to this node only.
 _DROPPED_FIELDS = frozenset(
     [
         "connection",
@@ -63,37 +63,37 @@
 
 @attrs.frozen
 class _HoldReply:
-    # The id of the reservation.
+    # Reservation id.
     hold: str
 
 
 @attrs.frozen
 class _PrefillReply:
     kv_handle: str
-    # Tokens of the prompt that the handle stands for.
+    # Prompt tokens that the handle covers.
     tokens: int = 0
 
 
 class _AnswerReader:
-    """Reports what answers say about their servers."""
+    """Records what answers advertise about their servers."""
 
     def __init__(self, eligibility: EndpointEligibility):
         self._eligibility = eligibility
         self._unknown = UnknownFields()
 
     def read(
-        self, endpoint: ServiceEndpoint, raw: RawHead, sent_ms: int, ran: bool = True
+        self, endpoint: ServiceEndpoint, raw: RawHead, sent_ms: int, is_request: bool = True
     ) -> Advertisement | None:
-        """An answer came to a request, or, without `ran`, to a call of this node's own."""
+        """Record an answer; `is_request` is false for this node's own calls."""
         self._unknown.check(raw, endpoint.instance)
-        advertisement = read_advertisement(raw, sent_ms, wall_ms(), ran)
+        advertisement = read_advertisement(raw, sent_ms, wall_ms(), is_request)
         if advertisement is not None:
             self._eligibility.observe(endpoint, advertisement)
         return advertisement
 
 
 class PlatformExchange:
-    """One request on its way through one server."""
+    """One request sent to one server, and its answer."""
 
     def __init__(
         self,
@@ -110,11 +110,11 @@
 
     @property
     def framed(self) -> bool:
-        """Whether the answer tells its own end; else only a close does."""
+        """Whether the answer has a length or chunks; else it ends when the connection closes."""
         return self.connection.framed
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises Break."""
+        """Read the status and the headers of the answer; raises Break."""
         raw = await self.connection.head(timeout_ms)
         advertisement = self._answers.read(self._endpoint, raw, self._sent_ms)
         head = _decode_head(raw)
@@ -123,16 +123,16 @@
         return head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """A part of the body, None at its end; raises Break."""
+        """Read the next part of the body, None at its end; raises Break."""
         return await self.connection.next_chunk(timeout_ms)
 
     def end(self) -> None:
-        """Give the connection back, or close it when the answer is not whole."""
+        """Return the connection to the pool, or close it if the answer is incomplete."""
         self._pool.give_back(self._endpoint, self.connection)
 
 
 class PlatformCalls:
-    """Implements the product's calls to endpoints in the platform's words."""
+    """Implements the calls to endpoints in the platform's protocol."""
 
     def __init__(self, eligibility: EndpointEligibility) -> None:
         self.pool = ConnectionPool(ID_FIELD)
@@ -142,7 +142,7 @@
     async def send(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
     ) -> PlatformExchange:
-        """Send a request on."""
+        """Forward a request; `left_ms` is the time until its deadline."""
         return await self._start(endpoint, request, left_ms, [])
 
     async def open_stream(
@@ -154,7 +154,11 @@
         handle: KvHandle | None,
         after_event: int | None,
     ) -> PlatformExchange:
-        """Send a generation to a decode server."""
+        """Start a generation on a decode server.
+
+        `hold` is its memory reservation there, `handle` the KV cache of its prompt on a prefill
+        server. `after_event` resumes a stream after the event with this id.
+        """
         extra = []
         if hold is not None:
             extra.append(("Kv-Hold", hold.hold_id))
@@ -172,10 +176,10 @@
         ttl_ms: int,
         now_ms: int,
     ) -> Result[KvHold, NotExecuted]:
-        """Reserve a slot and memory for a request."""
+        """Reserve a slot and KV cache for `tokens` on a decode server, for `ttl_ms`."""
         body = {"tokens": tokens, "ttl_ms": ttl_ms}
         path = "/saffronworks/hold-take"
-        status, content = await self._ask(endpoint, "POST", path, body, request)
+        status, content = await self._call(endpoint, "POST", path, body, request)
         if status != 200:
             return Err(NotExecuted(f"status {status}"))
         try:
@@ -185,13 +189,13 @@
         return Ok(KvHold(endpoint, reply.hold, now_ms + ttl_ms))
 
     async def drop_hold(self, hold: KvHold) -> None:
-        """Free a hold; where that fails it lapses by itself."""
+        """Release a reservation; if that fails, it expires by itself."""
         await self._drop(hold.endpoint, f"/saffronworks/hold-drop/{hold.hold_id}")
 
     async def prefill(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
     ) -> Result[KvHandle, NotExecuted]:
-        """Have a prompt read."""
+        """Run the prefill of a prompt; returns the handle of its KV cache."""
         exchange = await self._start(endpoint, request, left_ms, [("Stage", Role.PREFILL.value)])
         try:
             head = await exchange.head(left_ms)
@@ -207,25 +211,25 @@
         return Ok(KvHandle(endpoint, reply.kv_handle, reply.tokens))
 
     async def drop_handle(self, handle: KvHandle) -> None:
-        """Free a prompt that nobody takes; where that fails it lapses by itself."""
+        """Free the KV cache of a prompt that is not needed; if that fails, it expires by itself."""
         await self._drop(handle.endpoint, f"/saffronworks/kv-handle/{handle.handle_id}")
 
     async def listens(self, endpoint: ServiceEndpoint) -> bool | None:
-        """Whether somebody takes connections at its address; None when nothing comes back."""
+        """Return whether the address accepts connections, None if there is no reply at all."""
         return await self.pool.listens(endpoint)
 
     async def order_role(
         self, endpoint: ServiceEndpoint, role: Role, holder: str, fence: int
     ) -> Result[None, NotExecuted]:
-        """Order a server into another role."""
+        """Order a server to change its role; `fence` is the fencing token of `holder`."""
         body = {
             "operation": "stage",
             "stage": role.value,
             "holder": holder,
             "fencing_token": fence,
         }
-        status, _ = await self._ask(endpoint, "POST", "/saffronworks/order", body)
-        return Ok(None) if status in _ORDER_TAKEN else Err(NotExecuted(f"status {status}"))
+        status, _ = await self._call(endpoint, "POST", "/saffronworks/order", body)
+        return Ok(None) if status in _ORDER_ACCEPTED else Err(NotExecuted(f"status {status}"))
 
     async def _start(
         self,
@@ -247,7 +251,7 @@
         reserved: bool = False,
         own_call: bool = False,
     ) -> EndpointConnection:
-        """A connection for a request, if the endpoint still wants it; raises Break."""
+        """Return a connection if the endpoint still accepts this request; raises Break."""
         connection = await self.pool.take(endpoint, own_call)
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
@@ -258,7 +262,7 @@
 
     async def _drop(self, endpoint: ServiceEndpoint, path: str) -> None:
         try:
-            status, _ = await self._ask(endpoint, "DELETE", path, None)
+            status, _ = await self._call(endpoint, "DELETE", path, None)
         except Break as broken:
             logger.info(
                 "event=drop_failed endpoint=%s path=%s cause=%s",
@@ -269,7 +273,7 @@
             return
         logger.debug("event=dropped endpoint=%s path=%s status=%d", endpoint.instance, path, status)
 
-    async def _ask(
+    async def _call(
         self,
         endpoint: ServiceEndpoint,
         method: str,
@@ -277,15 +281,15 @@
         body: object,
         request: CallerRequest | None = None,
     ) -> tuple[int, bytes]:
-        """A small call to the server itself; raises Break.
+        """Send one of the node's own calls; returns status and body, raises Break.
 
-        One without a `request` frees what the server holds, or orders its role.
+        Calls without a `request` release reservations and KV caches, or order a role.
         """
         content = b"" if body is None else msgspec.json.encode(body)
         lines = [
             f"{method} {path} HTTP/1.1",
             f"Host: {endpoint.address}",
-            f"{_EXPECT}: {endpoint.name}",
+            f"{_EXPECT_INSTANCE}: {endpoint.name}",
             f"Content-Length: {len(content)}",
         ]
         if content:
@@ -301,8 +305,8 @@
             reply = await connection.body(CALL_TIMEOUT_MS)
         finally:
             self.pool.give_back(endpoint, connection)
-        # Only answers to requests tell that a limit has ended.
-        self._answers.read(endpoint, head, sent_ms, ran=False)
+        # Only answers to requests can end a rate limit.
+        self._answers.read(endpoint, head, sent_ms, is_request=False)
         return head.status, reply
 
 
@@ -318,9 +322,9 @@
     lines += [f"{key}: {value}" for key, value in extra]
     lines.append(f"{ID_FIELD}: {request.request_id}")
     lines.append(f"Deadline-Ms: {max(1, left_ms)}")
-    lines.append(f"{_EXPECT}: {endpoint.name}")
+    lines.append(f"{_EXPECT_INSTANCE}: {endpoint.name}")
     if request.organisation is not None:
-        lines.append(f"{_ORGANISATION}: {request.organisation.name}")
+        lines.append(f"{_TENANT_FIELD}: {request.organisation.name}")
     if request.body or request.method not in ("GET", "HEAD", "DELETE"):
         lines.append(f"Content-Length: {len(request.body)}")
     return _join(lines, request.body)
@@ -331,18 +335,18 @@
 
 
 def _decode_head(raw: RawHead) -> AnswerHead:
-    refused = is_not_executed(raw)
-    # Callers asked for no encoding: an encoded body is not the endpoint's own.
-    whose = raw.get(ID_FIELD) is not None and raw.get(SIGNATURE_FIELD) is not None
-    signed = whose and raw.get("content-encoding") is None
+    not_executed = is_not_executed(raw)
+    # No request accepts an encoding, so an encoded body was not made by the endpoint.
+    identified = raw.get(ID_FIELD) is not None and raw.get(SIGNATURE_FIELD) is not None
+    signed = identified and raw.get("content-encoding") is None
     return AnswerHead(
         status=raw.status,
         headers=tuple(
             (key, value) for key, value in raw.fields if key.lower() not in _DROPPED_FIELDS
         ),
-        executed=Executed.NO if refused else Executed.YES,
+        executed=Executed.NO if not_executed else Executed.YES,
         signed=signed,
-        reason=f"status-{raw.status}" if refused else "",
+        reason=f"status-{raw.status}" if not_executed else "",
         misdirected=raw.status == _MISDIRECTED,
         found_name=raw.get(INSTANCE_FIELD) if raw.status == _MISDIRECTED else None,
     )
