--- a/saffronworks/platform/ingress.py
+++ b/saffronworks/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests and answers on the platform: headers decoded, answers encoded."""
+"""Callers' requests and answers on the platform: decodes headers and encodes answers."""
 
 import logging
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a caller waits that does not say so.
-DEFAULT_LEFT_MS = 30_000
-# A colon, a space and a line end with each field.
-FIELD_EXTRA_BYTES = 4
+# Deadline of a request that names none.
+DEFAULT_DEADLINE_MS = 30_000
+# Each header field also has a colon, a space and a line end.
+FIELD_OVERHEAD_BYTES = 4
 _CONNECTION_FIELDS = frozenset(
     [
         "connection",
@@ -39,9 +39,9 @@
         "content-length",
     ]
 )
-# Where callers send their API key; no server ever gets it.
-_KEY_FIELD = "key"
-# Only the router may say these to a server, whatever a caller sent.
+# The caller's API key; never forwarded to a server.
+_API_KEY_FIELD = "key"
+# Header fields that only the router sets; those of callers are dropped.
 _ROUTER_FIELDS = frozenset(
     [
         "deadline-ms",
@@ -51,7 +51,7 @@
         "kv-fetch",
         "kv-hold",
         "kv-source",
-        _KEY_FIELD,
+        _API_KEY_FIELD,
         "pin-ms",
         "request-id",
         "request-priority",
@@ -62,7 +62,7 @@
 
 
 def read_request(call: Call, body: bytes, now_ms: int) -> Result[CallerRequest, list[str]]:
-    """Decode a caller's request; all findings at once."""
+    """Decode a caller's request that arrived at `now_ms`; the error lists all findings."""
     findings: list[str] = []
     request_id = call.headers.get("request-id", "")
     if not request_id:
@@ -78,26 +78,26 @@
             method=call.method,
             target=call.raw_path + (f"?{call.query}" if call.query else ""),
             host=call.headers.get("host", ""),
-            headers=tuple(_forwarded(call)),
+            headers=tuple(_forwarded_headers(call)),
             body=body,
             arrived_ms=now_ms,
-            left_ms=DEFAULT_LEFT_MS if left_ms is None else left_ms,
+            left_ms=DEFAULT_DEADLINE_MS if left_ms is None else left_ms,
             prompt=prompt,
             after_event=after_event,
             caller=call.headers.get("authorization", ""),
-            key=read_key([value for name, value in call.fields if name.lower() == _KEY_FIELD]),
+            key=read_key([value for name, value in call.fields if name.lower() == _API_KEY_FIELD]),
         )
     )
 
 
-def _forwarded(call: Call) -> list[tuple[str, str]]:
-    named = {part.strip().lower() for part in call.headers.get("connection", "").split(",")}
-    dropped = _CONNECTION_FIELDS | _ROUTER_FIELDS | named
+def _forwarded_headers(call: Call) -> list[tuple[str, str]]:
+    hop_by_hop = {part.strip().lower() for part in call.headers.get("connection", "").split(",")}
+    dropped = _CONNECTION_FIELDS | _ROUTER_FIELDS | hop_by_hop
     return [(key, value) for key, value in call.fields if key.lower() not in dropped]
 
 
 def _read_prompt(call: Call, findings: list[str]) -> PromptSize | None:
-    """Tokens of the prompt and the most that the answer may have, separated by a comma."""
+    """Parse the token counts: the prompt's and the answer's maximum, separated by a comma."""
     counts = call.headers.get("token-counts")
     if counts is None:
         return None
@@ -112,7 +112,7 @@
 def _read(
     call: Call, field: str, read: Callable[[str], Result[Any, str]], findings: list[str]
 ) -> int | None:
-    """The whole part of a field's number; None where there is no such field, or no number."""
+    """Return the integer part of a field's number; None if the field is missing or malformed."""
     value = call.headers.get(field)
     if value is None:
         return None
@@ -124,7 +124,7 @@
 
 
 class CallerConnectionReply:
-    """The way back to one caller, and the body of its answer once that has started."""
+    """Sends an answer to one caller: status and headers, then the body."""
 
     def __init__(self, call: Call, closing: bool):
         self._call = call
@@ -133,16 +133,16 @@
 
     @property
     def started(self) -> bool:
-        """Whether status and headers are out."""
+        """Whether status and headers have been sent."""
         return self._call.started
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer is out."""
+        """Whether the whole answer has been sent."""
         return self._finished
 
     async def start(self, head: AnswerHead) -> AnswerBody:
-        """Send status and headers; the body follows."""
+        """Send status and headers; returns the writer of the body."""
         fields = list(head.headers)
         if self._closing:
             fields.append(("connection", "close"))
@@ -154,12 +154,12 @@
         await self._call.write(data)
 
     async def finish(self) -> None:
-        """End the body, so that it looks complete."""
+        """End the body, so that the caller sees a complete answer."""
         self._finished = True
         await self._call.write(b"", more=False)
 
     async def refuse(self, status: int, reason: str, retry_after_ms: int | None = None) -> None:
-        """Answer on our own; Retry-After is in seconds, with a fraction."""
+        """Answer without an endpoint; Retry-After is in seconds, with a fraction."""
         self._finished = True
         headers = {}
         request_id = self._call.headers.get("request-id")
@@ -172,39 +172,39 @@
         await self._call.reply(status, {"error": reason}, headers)
 
     async def wait_gone(self) -> None:
-        """Return when the caller has left."""
+        """Return when the caller has disconnected."""
         await self._call.wait_gone()
 
     def cut(self) -> None:
-        """Close the connection, so that the answer does not look complete."""
+        """Close the connection, so that the caller sees an incomplete answer."""
         self._call.hang_up()
 
     async def drain(self) -> None:
-        """Return once nothing that was written is in this process any more."""
+        """Return once this process has no unsent bytes of the answer left."""
         await self._call.drain()
 
     def disconnect(self) -> None:
-        """Close the connection at once, with what was written to it and not read."""
+        """Close the connection at once and discard bytes that the caller has not read."""
         self._call.cut()
 
     @property
     def connection_key(self) -> int:
-        """The same for all answers on one connection of the caller, while it is open."""
+        """An identifier of the caller's connection, unique among the open ones."""
         return self._call.connection_key
 
     @property
     def buffered_bytes(self) -> int:
-        """What was written and is in this process still."""
+        """Bytes written that are still in this process."""
         return self._call.buffered_bytes
 
     @property
     def unread_bytes(self) -> int:
-        """What was written and the caller's machine has not taken."""
+        """Bytes written that the caller's machine has not acknowledged."""
         return self._call.buffered_bytes + self._call.kernel_bytes
 
 
 class Ingress:
-    """Decodes calls for the forwarder."""
+    """Decodes callers' requests and passes them to the forwarder."""
 
     def __init__(self, forwarder: Forwarder, now_ms: Callable[[], int]):
         self.closing = False
@@ -212,9 +212,11 @@
         self._now_ms = now_ms
 
     async def handle(self, call: Call) -> None:
-        """Serve one call of a caller."""
+        """Serve one request of a caller."""
         reply = CallerConnectionReply(call, self.closing)
-        header_bytes = sum(len(key) + len(value) + FIELD_EXTRA_BYTES for key, value in call.fields)
+        header_bytes = sum(
+            len(key) + len(value) + FIELD_OVERHEAD_BYTES for key, value in call.fields
+        )
         if header_bytes > self._limits().header_bytes:
             logger.info("event=bad_request reason=header-too-large bytes=%d", header_bytes)
             await reply.refuse(431, "header-too-large")
