--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -1,4 +1,4 @@
-"""The main class of a node on the platform: wires the product to the adapter."""
+"""The main class of a node on the platform: connects the forwarding code to the adapter."""
 
 import logging
 import random
@@ -60,14 +60,15 @@
 
 READINESS_PATH = "/saffronworks/readiness"
 METRICS_PATH = "/metrics"
-# The platform asks once a second and sends no new callers after two misses.
-TAKEN_OUT_MS = 2300
-# Left of the time before SIGKILL when the last requests are cut.
+# The platform probes readiness once per second and sends no new callers after two failed probes.
+DEREGISTRATION_MS = 2300
+# The remaining requests are aborted this long before SIGKILL.
 EXIT_MARGIN_MS = 700
-# Pause before a service that failed is started again.
+# Delay before a failed service is restarted.
 SERVICE_PAUSE_MS = 1000
-# Nodes assumed until they are counted: rather too many, as parts of a budget add up.
-UNCOUNTED_NODES = 100
+# Number of nodes assumed until the first census. Each node uses its share of a budget, and too
+# high a number keeps the sum of the shares within that budget.
+INITIAL_NODE_COUNT = 100
 
 
 class PlatformNode:
@@ -75,7 +76,7 @@
 
     def __init__(self, settings: PlatformSettings, settings_file: str, metrics_port: int):
         self.settings = settings
-        self._settings_watch = SettingsWatch(settings_file, self._take_settings)
+        self._settings_watch = SettingsWatch(settings_file, self._apply_settings)
         self._tasks: TaskGroup | None = None
         self._stopping = anyio.Event()
         self._store_epoch = StoreEpoch()
@@ -84,7 +85,7 @@
         self._directory = Directory()
         self._limits = EndpointLimits(
             settings.peer_address,
-            UNCOUNTED_NODES,
+            INITIAL_NODE_COUNT,
             random.Random(settings.peer_address),
             monotonic_ms,
         )
@@ -100,7 +101,7 @@
             self._store_epoch,
             monotonic_ms,
         )
-        self._guarded = GuardedSource(self._store, rng, monotonic_ms, self._told)
+        self._guarded_store = GuardedSource(self._store, rng, monotonic_ms, self._receives_updates)
         self._kernel = Kernel(settings.node, monotonic_ms)
         self._peers = PeerService(
             settings.peer_address,
@@ -116,7 +117,7 @@
             settings.peer_address,
             self._directory,
             self._calls,
-            self._guarded,
+            self._guarded_store,
             random.Random(settings.peer_address),
             self._store_epoch,
             monotonic_ms,
@@ -124,7 +125,7 @@
         self._quotas = Quotas(
             settings.peer_address,
             settings.quota_bounds,
-            UNCOUNTED_NODES,
+            INITIAL_NODE_COUNT,
             lambda: self._forwarder.table,
             monotonic_ms,
         )
@@ -138,24 +139,24 @@
             settings.peer_address,
             settings.cores,
             settings.zone,
-            self._guarded,
+            self._guarded_store,
             rng,
             self._store_epoch,
             monotonic_ms,
-            self._take_census,
+            self._apply_census,
         )
         self._roles = self._make_roles(settings)
-        grace_s = max(1, (settings.stop_grace_ms - TAKEN_OUT_MS - EXIT_MARGIN_MS) // 1000)
+        grace_s = max(1, (settings.stop_grace_ms - DEREGISTRATION_MS - EXIT_MARGIN_MS) // 1000)
         send_buffer = CALLER_SEND_BUFFER_BYTES if self._state.buffers.bounded else None
         callers = bind(settings.caller_address, send_buffer)
         self._callers = HttpServer(callers, self._ingress.handle, grace_s)
         self._probes = HttpServer(bind(settings.probe_address), self._answer_probe)
-        self._page = MetricsPage(self._state.figures)
+        self._metrics_page = MetricsPage(self._state.figures)
         self._metrics = HttpServer(bind(f"{settings.ip}:{metrics_port}"), self._answer_metrics)
 
     def _make_state(self, settings: PlatformSettings) -> NodeState:
         budget = RetryBudget(
-            settings.retry_ratio, settings.retry_slack, settings.retry_window_ms, UNCOUNTED_NODES
+            settings.retry_ratio, settings.retry_slack, settings.retry_window_ms, INITIAL_NODE_COUNT
         )
         figures = Figures(settings.node)
         return NodeState(
@@ -169,19 +170,19 @@
             spawn=self._spawn,
             memory=self._memory,
             quarantine=self._quarantine,
-            identities=Identities(self._in_touch),
+            identities=Identities(self._is_configuration_current),
             quotas=self._quotas,
             limits=self._limits,
             eligibility=self._eligibility,
             buffers=AnswerBuffers(bound_of_memory(settings.memory_bytes), figures, monotonic_ms),
         )
 
-    def _told(self) -> bool:
-        """Whether this node may wait for what others tell it of the store."""
+    def _receives_updates(self) -> bool:
+        """Return whether this node may rely on other nodes for updates of the store."""
         return self._forwarder.table is not None and self._news.follows_peers()
 
-    def _in_touch(self) -> bool:
-        """Whether a version of the configuration that has to be in force here is known."""
+    def _is_configuration_current(self) -> bool:
+        """Return whether this node has every configuration that must be in force by now."""
         follower = next(found for found in self._followers if found.kind == CONFIG_KIND)
         return follower.age_ms() <= self.settings.known_within_ms
 
@@ -190,14 +191,14 @@
             self._directory,
             monotonic_ms,
             wall_ms,
-            self._forget_gone,
+            self._forget_removed_endpoints,
             self._state.figures.count_bad_entry,
         )
-        configuration = ConfigurationSink(self._take_table)
+        configuration = ConfigurationSink(self._apply_table)
         return [
             Follower(
                 kind,
-                self._guarded,
+                self._guarded_store,
                 sink,
                 rng,
                 monotonic_ms,
@@ -239,11 +240,11 @@
 
     @property
     def metrics_address(self) -> str:
-        """Where the figures are asked for, as `IP:port`."""
+        """The address of the metrics page, as `IP:port`."""
         return self._metrics.address
 
     async def run(self) -> None:
-        """Serve until SIGTERM has drained the node."""
+        """Serve until SIGTERM, then drain and return."""
         logger.info(
             "event=start node=%s zone=%s callers=%s probes=%s store=%s",
             self.settings.node,
@@ -277,52 +278,54 @@
         logger.info("event=stop node=%s", self.settings.node)
 
     def stop(self) -> None:
-        """Begin the planned stop."""
+        """Begin a graceful shutdown."""
         self._stopping.set()
 
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Return whether this node can serve callers."""
         listed = all(follower.listed for follower in self._followers)
         return listed and self._forwarder.table is not None and not self._stopping.is_set()
 
     async def _drain(self) -> None:
-        """Serve on until no new callers come, then let the open requests end."""
+        """Accept callers until the platform sends no more, then wait for the open requests."""
         logger.info(
             "event=drain node=%s open_requests=%d",
             self.settings.node,
             self._forwarder.open_requests,
         )
         self._ingress.closing = True
-        await anyio.sleep(TAKEN_OUT_MS / 1000)
+        await anyio.sleep(DEREGISTRATION_MS / 1000)
         await self._census.leave()
         self._callers.stop()
 
     def _spawn(
         self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: object
     ) -> None:
-        """Run something in the background for as long as the node runs."""
+        """Run a coroutine function in the background; it is cancelled when the node stops."""
         if self._tasks is not None:
             self._tasks.start_soon(self._run_once, function, *arguments)
 
     async def _run_once(
         self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: object
     ) -> None:
-        """A failure in the background is logged, and ends nothing else."""
+        """Run a coroutine function and log its failure, which ends no other task."""
         try:
             await function(*arguments)
         except Exception:
             logger.exception("event=background_failed function=%s", function.__qualname__)
 
     async def _keep_running(self, service: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Start a service again that failed by a fault of ours, while the node serves on."""
+        """Run a service and restart it whenever it fails or returns."""
         while True:
             await self._run_once(service)
             await anyio.sleep(SERVICE_PAUSE_MS / 1000)
 
-    def _take_census(self, nodes: dict[str, CountedNode]) -> None:
+    def _apply_census(self, nodes: dict[str, CountedNode]) -> None:
         cores = {address: node.cores for address, node in nodes.items()}
         zone = self.settings.zone
-        self._news.update_zone({a: node.cores for a, node in nodes.items() if node.zone == zone})
+        self._news.update_zone(
+            {address: node.cores for address, node in nodes.items() if node.zone == zone}
+        )
         self._state.budget.nodes = max(1, len(cores))
         self._memory.choice.cores = cores
         self._turns.take(cores)
@@ -334,18 +337,18 @@
     def _share_connections(self) -> None:
         table = self._forwarder.table
         if table is not None and table.services:
-            least = min(service.max_connections for service in table.services.values())
-            self._calls.pool.share_among(self._state.budget.nodes, least)
+            min_connections = min(service.max_connections for service in table.services.values())
+            self._calls.pool.share_among(self._state.budget.nodes, min_connections)
 
-    def _take_table(self, table: RoutingTable) -> bool:
+    def _apply_table(self, table: RoutingTable) -> bool:
         self._callers.keep_idle(table.limits.idle_timeout_ms / 1000)
-        taken = self._forwarder.take_table(table)
-        if taken:
+        accepted = self._forwarder.take_table(table)
+        if accepted:
             self._quotas.take_table(table)
         self._share_connections()
-        return taken
+        return accepted
 
-    def _forget_gone(self) -> None:
+    def _forget_removed_endpoints(self) -> None:
         for instance in self._directory.take_ended():
             self._calls.pool.end(instance)
         known = set(self._directory.endpoints)
@@ -364,7 +367,7 @@
         if call.path != METRICS_PATH:
             await call.reply(404, {"error": f"only {METRICS_PATH} is served here"})
             return
-        await call.reply_bytes(200, await self._page.render(), "text/plain; version=0.0.4")
+        await call.reply_bytes(200, await self._metrics_page.render(), "text/plain; version=0.0.4")
 
     async def _watch_signals(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
@@ -375,8 +378,8 @@
                 else:
                     self.stop()
 
-    def _take_settings(self, settings: PlatformSettings) -> None:
-        """Take what may change while running: the retry budget. Addresses need a restart."""
+    def _apply_settings(self, settings: PlatformSettings) -> None:
+        """Apply the retry budget, the only setting that takes effect without a restart."""
         self.settings = settings
         budget = self._state.budget
         budget.ratio, budget.slack = settings.retry_ratio, settings.retry_slack
