--- a/saffronworks/platform/configuration.py
+++ b/saffronworks/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration object, decoded into the routing table."""
+"""Decodes the operator's configuration object into the routing table."""
 
 import logging
 from collections.abc import Callable
@@ -28,9 +28,9 @@
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
 
-_REPEATABLE = "idempotent"
+_IDEMPOTENT = "idempotent"
 _STREAMING = "streaming"
-_KINDS = (_REPEATABLE, "non_idempotent", _STREAMING)
+_KINDS = (_IDEMPOTENT, "non_idempotent", _STREAMING)
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
     traffic_split: list[_Split] = attrs.Factory(list)
     resumable: bool = False
     gap_target_ms: float = 300
-    # Served without a key.
+    # Whether the route is served without an API key.
     public: bool = False
     priority: int = DEFAULT_PRIORITY
 
@@ -61,9 +61,9 @@
 class _Engine:
     slots: int
     kv_capacity_tokens: int
-    # Tokens of one event of a stream; the wire calls it a stride.
+    # Tokens per event of a stream.
     stride: int = 1
-    # The longest that memory may be reserved before it is used.
+    # Longest time for which memory may stay reserved before it is used.
     hold_ms: float = 2000.0
 
 
@@ -87,54 +87,58 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = _Limits()
-    # The organisations; without the field, callers need no key.
+    # The organisations. Without this field, callers need no API key.
     tenants: list[Tenant] | None = None
 
 
 def read_configuration(content: bytes) -> Result[RoutingTable, list[str]]:
-    """Decode and check; all findings at once."""
+    """Decode and check the configuration; the error lists all findings."""
     try:
-        wire = msgspec.json.decode(content, type=_Configuration)
+        configuration = msgspec.json.decode(content, type=_Configuration)
     except msgspec.MsgspecError as error:
         return Err([f"{CONFIG_KIND}/{CONFIG_NAME}: {error}"])
-    findings = _check(wire)
+    findings = _check(configuration)
     if findings:
         return Err(findings)
     return Ok(
         RoutingTable(
-            version=wire.version,
-            routes=tuple(_decode_route(route) for route in wire.routes),
-            services={service.name: _decode_service(service) for service in wire.services},
+            version=configuration.version,
+            routes=tuple(_decode_route(route) for route in configuration.routes),
+            services={service.name: _decode_service(service) for service in configuration.services},
             limits=CallerLimits(
-                wire.limits.max_header_bytes,
-                wire.limits.max_body_bytes,
-                int(wire.limits.idle_timeout_ms),
+                configuration.limits.max_header_bytes,
+                configuration.limits.max_body_bytes,
+                int(configuration.limits.idle_timeout_ms),
             ),
-            organisations=_decode_organisations(wire),
+            organisations=_decode_organisations(configuration),
         )
     )
 
 
-def _check(wire: _Configuration) -> list[str]:
+def _check(configuration: _Configuration) -> list[str]:
     findings = []
-    services = {service.name for service in wire.services}
-    for index, route in enumerate(wire.routes):
-        place = f"routes[{index}] {route.name}"
-        named = [split.service for split in route.traffic_split] or [route.service or ""]
+    services = {service.name for service in configuration.services}
+    for index, route in enumerate(configuration.routes):
+        location = f"routes[{index}] {route.name}"
+        referenced = [split.service for split in route.traffic_split] or [route.service or ""]
         findings += [
-            f"{place}: no service is named {name!r}" for name in named if name not in services
+            f"{location}: no service is named {name!r}"
+            for name in referenced
+            if name not in services
         ]
         if route.kind not in _KINDS:
-            findings.append(f"{place}: kind {route.kind!r} is not one of {', '.join(_KINDS)}")
+            findings.append(
+                f"{location}: unknown kind {route.kind!r}, expected one of {', '.join(_KINDS)}"
+            )
         if route.priority < 0:
-            findings.append(f"{place}: priority: {route.priority} is negative")
+            findings.append(f"{location}: priority: {route.priority} must not be negative")
         if route.traffic_split and sum(split.weight for split in route.traffic_split) <= 0:
-            findings.append(f"{place}: the weights of its services add up to nothing")
-    return findings + check_tenants(wire.tenants or [])
+            findings.append(f"{location}: the weights of its services must add up to more than 0")
+    return findings + check_tenants(configuration.tenants or [])
 
 
-def _decode_organisations(wire: _Configuration) -> Organisations | None:
-    return None if wire.tenants is None else decode_tenants(wire.tenants)
+def _decode_organisations(configuration: _Configuration) -> Organisations | None:
+    return None if configuration.tenants is None else decode_tenants(configuration.tenants)
 
 
 def _decode_route(route: _Route) -> Route:
@@ -144,7 +148,7 @@
         host=route.host.lower(),
         path_prefix=route.path_prefix,
         splits=splits or (Split(route.service or "", 1.0),),
-        repeatable=route.kind == _REPEATABLE,
+        repeatable=route.kind == _IDEMPOTENT,
         streams=route.kind == _STREAMING,
         resumable=route.resumable,
         timeout_ms=int(route.timeout_ms),
@@ -168,25 +172,25 @@
 
 
 class ConfigurationSink:
-    """Passes on each readable version; one that can't be read leaves the last in force."""
+    """Applies each valid configuration; after an invalid one the last valid one stays in force."""
 
-    def __init__(self, take_table: Callable[[RoutingTable], bool]):
-        self._take_table = take_table
+    def __init__(self, apply_table: Callable[[RoutingTable], bool]):
+        self._apply_table = apply_table
 
     def replace_all(self, listing: Listing, lapse_until_ms: int) -> None:
-        """A whole listing."""
+        """Apply a complete listing."""
         self.apply(listing, lapse_until_ms)
 
     def apply(self, changes: Listing, lapse_until_ms: int) -> None:
-        """Changes since the last listing."""
+        """Apply changes since the last listing."""
         for item in changes.objects:
             if item.name == CONFIG_NAME and item.content is not None:
-                self._take(item.content, item.revision)
+                self._apply_object(item.content, item.revision)
 
-    def _take(self, content: bytes, revision: StoreRevision) -> None:
+    def _apply_object(self, content: bytes, revision: StoreRevision) -> None:
         read = read_configuration(content)
         if isinstance(read, Err):
             for finding in read.err_value:
                 logger.error("event=config_unreadable revision=%s problem=%r", revision, finding)
             return
-        self._take_table(read.ok_value)
+        self._apply_table(read.ok_value)
