--- a/saffronworks/platform/organisations.py
+++ b/saffronworks/platform/organisations.py
@@ -1,4 +1,4 @@
-"""The platform's tenants, checked and decoded into organisations."""
+"""Checks the platform's tenants and decodes them into organisations."""
 
 import math
 
@@ -22,65 +22,67 @@
 
 @attrs.frozen
 class Tenant:
-    """One organisation as the platform writes it; no rate, or 0, is no limit."""
+    """One organisation in the platform's format; a missing rate or 0 means no limit."""
 
     name: str
     api_keys: list[str]
     priority: int | None = None
     unit: str = QuotaUnit.REQUESTS.value
-    # What a request without a prompt counts where tokens are counted.
+    # Cost of a request without a prompt, where the unit is tokens.
     plain_tokens: int = 1
-    # In `unit` a second, over all nodes.
+    # In `unit` per second, over all nodes together.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
 
 def check_tenants(tenants: list[Tenant]) -> list[str]:
-    """All findings; none shows a key."""
+    """Return all findings; none contains a key."""
     findings = []
     names: set[str] = set()
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for index, tenant in enumerate(tenants):
-        place = f"tenants[{index}] {tenant.name!r}"
-        findings += [f"{place}: {problem}" for problem in _check_one(tenant)]
+        location = f"tenants[{index}] {tenant.name!r}"
+        findings += [f"{location}: {problem}" for problem in _check_tenant(tenant)]
         if tenant.name in names:
-            findings.append(f"{place}: another one has this name")
+            findings.append(f"{location}: another organisation has this name")
         names.add(tenant.name)
-        for number, key in enumerate(tenant.api_keys):
-            holder = holders.setdefault(key, tenant.name)
-            if holder != tenant.name:
-                findings.append(f"{place}: api_keys[{number}] is a key of {holder!r} too")
+        for position, key in enumerate(tenant.api_keys):
+            owner = owners.setdefault(key, tenant.name)
+            if owner != tenant.name:
+                findings.append(f"{location}: api_keys[{position}] also belongs to {owner!r}")
     return findings
 
 
-def _check_one(tenant: Tenant) -> list[str]:
+def _check_tenant(tenant: Tenant) -> list[str]:
     problems = []
-    if not tenant.name or not all("!" <= sign <= "~" for sign in tenant.name):
-        problems.append("the name is empty, or has signs that a header field can't hold")
-    for number, key in enumerate(tenant.api_keys):
+    if not tenant.name or not all("!" <= char <= "~" for char in tenant.name):
+        problems.append("the name is empty or has characters that a header can't hold")
+    for position, key in enumerate(tenant.api_keys):
         if isinstance(read_key([key]), BadKey):
             problems.append(
-                f"api_keys[{number}] is not of 1 to {MOST_KEY_BYTES} visible ASCII signs"
+                f"api_keys[{position}] must have 1 to {MOST_KEY_BYTES} visible ASCII characters"
             )
     if tenant.unit not in _UNITS:
-        problems.append(f"unit {tenant.unit!r} is not one of {', '.join(sorted(_UNITS))}")
+        problems.append(
+            f"unknown unit {tenant.unit!r}, expected one of {', '.join(sorted(_UNITS))}"
+        )
     for field in ("rate_per_s", "burst", "plain_tokens"):
         value = getattr(tenant, field)
         if not math.isfinite(value) or value < 0:
-            problems.append(f"{field}: {value} is negative or no number")
+            problems.append(f"{field}: {value} must be a finite number, 0 or more")
     if tenant.priority is not None and tenant.priority < 0:
-        problems.append(f"priority: {tenant.priority} is negative")
+        problems.append(f"priority: {tenant.priority} must not be negative")
     return problems
 
 
 def decode_tenants(tenants: list[Tenant]) -> Organisations:
-    """The organisations by their keys."""
-    found: Organisations = {}
+    """Return the organisations by the digests of their keys."""
+    by_key: Organisations = {}
     for tenant in tenants:
         organisation = Organisation(tenant.name, tenant.priority, _decode_quota(tenant))
         for key in tenant.api_keys:
-            found[digest_key(key)] = organisation
-    return found
+            by_key[digest_key(key)] = organisation
+    return by_key
 
 
 def _decode_quota(tenant: Tenant) -> Quota | None:
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -45,13 +45,13 @@
     for told in (
         "unit 'words'",
         "rate_per_s: -1",
-        "another one has this name",
-        "api_keys[0] is not of",
-        "api_keys[1] is not of",
+        "another organisation has this name",
+        "api_keys[0] must have 1 to",
+        "api_keys[1] must have 1 to",
         "burst: -2",
         "priority: -1",
         "the name is empty",
-        "is a key of 'a' too",
+        "also belongs to 'a'",
         "plain_tokens: -1",
     ):
         assert told in findings, (told, findings)
