--- a/saffronworks/platform/scrapes.py
+++ b/saffronworks/platform/scrapes.py
@@ -1,4 +1,4 @@
-"""The metrics page of a node, whose libraries are loaded when somebody first asks for it."""
+"""The metrics page of a node. Its libraries are loaded at the first request for the page."""
 
 import importlib
 import logging
@@ -14,16 +14,16 @@
 
 
 class MetricsPage:
-    """Renders the figures; loading goes on in a thread, so that requests are served meanwhile."""
+    """Renders the metrics; loads the libraries in a thread, to keep the event loop responsive."""
 
     def __init__(self, figures: Figures):
         self._figures = figures
-        self._loading = anyio.Lock()
+        self._load_lock = anyio.Lock()
         self._metrics: Any = None
 
     async def render(self) -> bytes:
-        """The page in Prometheus' text format."""
-        async with self._loading:
+        """Return the page in the text format of Prometheus."""
+        async with self._load_lock:
             if self._metrics is None:
                 module = await anyio.to_thread.run_sync(
                     importlib.import_module, "saffronworks.metrics"
