--- a/saffronworks/platform/server_entries.py
+++ b/saffronworks/platform/server_entries.py
@@ -1,4 +1,4 @@
-"""What an entry of a server must hold to be used, field by field."""
+"""The entry of a server in the store, and the validation of its fields."""
 
 from typing import Annotated, Any, Literal, get_type_hints
 
@@ -10,10 +10,10 @@
 
 __all__ = ["ServerEntry", "read_entry"]
 
-# An entry has some 300 bytes, and a few hundred more with adapters of its model.
-MOST_ENTRY_BYTES = 65_536
-# A start may lie so far ahead of this VM's time: clocks differ, and may jump by seconds.
-BORN_AHEAD_MS = 60_000
+# An entry has about 300 bytes, and a few hundred more if its model has adapters.
+MAX_ENTRY_BYTES = 65_536
+# How far a server's start time may be ahead of this VM's clock, as clocks differ by seconds.
+MAX_START_AHEAD_MS = 60_000
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
 _Count = Annotated[int, msgspec.Meta(ge=0, lt=2**53)]
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class ServerEntry:
-    """All fields of an entry; the ones with a default need not be there."""
+    """All fields of an entry; those with a default are optional."""
 
     service: _Text
     address: _Text
@@ -29,29 +29,29 @@
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1, lt=2**31)]
     state: Literal["ready", "draining"]
-    # How much longer it is slow from its start.
+    # How much longer the server is slow after its start.
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
-    # Counts the server's writes.
+    # Number of writes to this entry by the server.
     sequence: _Count
-    # The endpoint's role; absent at services without engines.
+    # Role of the endpoint; missing for services without engines.
     stage: Literal["prefill", "decode"] | None = None
     # Unix time of the server's start in ms.
     born: _Count | None = None
 
 
 _FIELDS = get_type_hints(ServerEntry, include_extras=True)
-_UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
-_NEEDED = {field.name for field in attrs.fields(ServerEntry) if field.default is attrs.NOTHING}
+_DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+_REQUIRED = {field.name for field in attrs.fields(ServerEntry) if field.default is attrs.NOTHING}
 
 
 def read_entry(content: bytes, wall_ms: int) -> Result[ServerEntry, list[str]]:
-    """An entry, or all that keeps it from being used; `wall_ms` is the Unix time now."""
-    if len(content) > MOST_ENTRY_BYTES:
-        return Err([f"{len(content)} bytes are more than {MOST_ENTRY_BYTES}"])
+    """Return a valid entry, or all findings; `wall_ms` is the Unix time now."""
+    if len(content) > MAX_ENTRY_BYTES:
+        return Err([f"{len(content)} bytes exceed the maximum of {MAX_ENTRY_BYTES}"])
     try:
         entry = msgspec.json.decode(content, type=ServerEntry)
-    except _UNREADABLE as error:
-        return Err(_find_all(content) or [str(error)])
+    except _DECODE_ERRORS as error:
+        return Err(_check_fields(content) or [str(error)])
     findings = _check_values(entry, wall_ms)
     return Err(findings) if findings else Ok(entry)
 
@@ -59,21 +59,21 @@
 def _check_values(entry: ServerEntry, wall_ms: int) -> list[str]:
     findings = []
     if not is_address(entry.address):
-        findings.append(f"address: {entry.address!r} is not of the form IP:port")
-    if entry.born is not None and entry.born > wall_ms + BORN_AHEAD_MS:
-        findings.append(f"born: {entry.born} lies {entry.born - wall_ms} ms ahead")
+        findings.append(f"address: {entry.address!r} must have the form IP:port")
+    if entry.born is not None and entry.born > wall_ms + MAX_START_AHEAD_MS:
+        findings.append(f"born: {entry.born} is {entry.born - wall_ms} ms in the future")
     return findings
 
 
-def _find_all(content: bytes) -> list[str]:
-    """Every field's own finding; none where the content as a whole can't be read."""
+def _check_fields(content: bytes) -> list[str]:
+    """Check each field alone, so that an entry's findings are complete."""
     try:
         fields = msgspec.json.decode(content)
-    except _UNREADABLE as error:
-        return [f"unreadable: {error}"]
+    except _DECODE_ERRORS as error:
+        return [f"malformed: {error}"]
     if not isinstance(fields, dict):
-        return ["it is no object"]
-    findings = [f"{name}: missing" for name in sorted(_NEEDED - fields.keys())]
+        return ["expected an object"]
+    findings = [f"{name}: missing" for name in sorted(_REQUIRED - fields.keys())]
     for name in _FIELDS.keys() & fields.keys():
         findings += _check_type(name, fields[name])
     return findings
@@ -85,5 +85,5 @@
     except msgspec.MsgspecError as error:
         return [f"{name}: {error}"]
     if name == "address" and not is_address(value):
-        return [f"address: {value!r} is not of the form IP:port"]
+        return [f"address: {value!r} must have the form IP:port"]
     return []
