--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -1,7 +1,7 @@
-"""Entries of servers in the store, decoded into endpoints.
+"""Decodes the entries of servers in the store into endpoints.
 
-Entries may come from other writers. One that is not whole names no endpoint to use, and hurts no
-other one.
+Programs other than the servers may write entries. An invalid entry puts its endpoint out of use,
+and affects no other endpoint.
 """
 
 import logging
@@ -22,12 +22,12 @@
 
 SERVER_KIND = "servers"
 _DRAINING = "draining"
-# Bad entries of one listing that get a line each; thousands of lines would hold up a start.
+# Invalid entries of one listing that are logged; thousands of lines would delay a node's start.
 MAX_LOGGED_ENTRIES = 50
 
 
 def read_server(name: str, content: bytes, wall_ms: int) -> Result[ServiceEndpoint, list[str]]:
-    """Decode one entry, or tell all that is wrong with it; `wall_ms` is the Unix time now."""
+    """Decode one entry, or return all findings; `wall_ms` is the Unix time now."""
     return read_entry(content, wall_ms).map(lambda entry: _decode(name, entry))
 
 
@@ -44,25 +44,25 @@
 
 
 @attrs.define
-class _BadEntries:
-    """The versions that were told already, by name, and how many more wait to be told."""
+class _InvalidEntryLog:
+    """Logs each version of an invalid entry once; `suppressed` counts those beyond the maximum."""
 
-    told: dict[str, StoreRevision] = attrs.Factory(dict)
-    left_out: int = 0
-    lines: int = 0
+    logged: dict[str, StoreRevision] = attrs.Factory(dict)
+    suppressed: int = 0
+    line_count: int = 0
 
-    def begin(self) -> None:
-        self.left_out = self.lines = 0
+    def begin_batch(self) -> None:
+        self.suppressed = self.line_count = 0
 
-    def tell(self, item: StoredObject, findings: list[str]) -> None:
-        """One line a version, with every finding."""
-        if self.told.get(item.name) == item.revision:
+    def log_once(self, item: StoredObject, findings: list[str]) -> None:
+        """Log all findings of an entry in one line, unless this version has been logged."""
+        if self.logged.get(item.name) == item.revision:
             return
-        self.told[item.name] = item.revision
-        if self.lines >= MAX_LOGGED_ENTRIES:
-            self.left_out += 1
+        self.logged[item.name] = item.revision
+        if self.line_count >= MAX_LOGGED_ENTRIES:
+            self.suppressed += 1
             return
-        self.lines += 1
+        self.line_count += 1
         logger.error(
             "event=endpoint_unreadable endpoint=%s revision=%s findings=%d problem=%r",
             item.name,
@@ -71,76 +71,80 @@
             "; ".join(findings),
         )
 
-    def finish(self) -> None:
-        if self.left_out:
-            logger.error("event=endpoints_unreadable not_told=%d", self.left_out)
+    def finish_batch(self) -> None:
+        if self.suppressed:
+            logger.error("event=endpoints_unreadable not_logged=%d", self.suppressed)
 
 
 class ServerSink:
-    """Keeps the directory as the store lists the servers."""
+    """Keeps the directory up to date with the servers that the store lists."""
 
     def __init__(
         self,
         directory: Directory,
         now_ms: Callable[[], int],
         wall_ms: Callable[[], int],
-        changed: Callable[[], None],
-        count_bad: Callable[[str], None],
+        on_change: Callable[[], None],
+        count_bad_entry: Callable[[str], None],
     ):
         self._directory = directory
         self._now_ms = now_ms
         self._wall_ms = wall_ms
-        self._changed = changed
-        self._count_bad = count_bad
-        self._bad = _BadEntries()
+        self._on_change = on_change
+        self._count_bad_entry = count_bad_entry
+        self._invalid_entries = _InvalidEntryLog()
 
     def replace_all(self, listing: Listing, lapse_until_ms: int) -> None:
-        """A whole listing."""
+        """Apply a complete listing; entries missing from it may be used until `lapse_until_ms`."""
         now_ms = self._now_ms()
         names = {item.name for item in listing.objects}
-        self._take(listing.objects, now_ms, lapse_until_ms)
+        self._apply_objects(listing.objects, now_ms, lapse_until_ms)
         for name in self._directory.keep(names, listing.revision, now_ms, lapse_until_ms):
-            self._log_gone(name, lapse_until_ms - now_ms)
-        self._bad.told = {name: at for name, at in self._bad.told.items() if name in names}
-        self._changed()
+            self._log_removed(name, lapse_until_ms - now_ms)
+        self._invalid_entries.logged = {
+            name: at for name, at in self._invalid_entries.logged.items() if name in names
+        }
+        self._on_change()
 
     def apply(self, changes: Listing, lapse_until_ms: int) -> None:
-        """Changes since the last listing."""
-        self._take(changes.objects, self._now_ms(), lapse_until_ms)
+        """Apply changes since the last listing."""
+        self._apply_objects(changes.objects, self._now_ms(), lapse_until_ms)
         self._directory.revision = changes.revision
         if changes.objects:
-            self._changed()
+            self._on_change()
 
-    def _take(self, items: tuple[StoredObject, ...], now_ms: int, lapse_until_ms: int) -> None:
-        self._bad.begin()
+    def _apply_objects(
+        self, items: tuple[StoredObject, ...], now_ms: int, lapse_until_ms: int
+    ) -> None:
+        self._invalid_entries.begin_batch()
         for item in items:
             if item.content is None:
-                self._bad.told.pop(item.name, None)
+                self._invalid_entries.logged.pop(item.name, None)
                 self._remove(item.name, now_ms, lapse_until_ms)
                 continue
             read = read_server(item.name, item.content, self._wall_ms())
             if isinstance(read, Err):
-                self._refuse(item, read.err_value, now_ms)
+                self._reject(item, read.err_value, now_ms)
             else:
                 self._put(read.ok_value, item.revision, now_ms)
-        self._bad.finish()
+        self._invalid_entries.finish_batch()
 
-    def _refuse(self, item: StoredObject, findings: list[str], now_ms: int) -> None:
-        """Nothing new goes to an endpoint whose entry went bad; what runs there ends by itself."""
-        self._count_bad(SERVER_KIND)
-        self._bad.tell(item, findings)
+    def _reject(self, item: StoredObject, findings: list[str], now_ms: int) -> None:
+        """Send no new requests to an endpoint with an invalid entry; running ones go on."""
+        self._count_bad_entry(SERVER_KIND)
+        self._invalid_entries.log_once(item, findings)
         self._remove(item.name, now_ms, lapse_until_ms=0)
 
     def _remove(self, name: str, now_ms: int, lapse_until_ms: int) -> None:
         if self._directory.named(name) is not None:
-            self._log_gone(name, lapse_until_ms - now_ms)
+            self._log_removed(name, lapse_until_ms - now_ms)
         self._directory.remove(name, now_ms, lapse_until_ms)
 
     def _put(self, endpoint: ServiceEndpoint, revision: StoreRevision, now_ms: int) -> None:
         before = self._directory.named(endpoint.name)
-        heard = self._directory.put_listed(endpoint, revision, now_ms)
-        self._bad.told.pop(endpoint.name, None)
-        match heard:
+        outcome = self._directory.put_listed(endpoint, revision, now_ms)
+        self._invalid_entries.logged.pop(endpoint.name, None)
+        match outcome:
             case Heard.SAME:
                 return
             case Heard.WITHHELD:
@@ -166,12 +170,12 @@
             endpoint.zone,
             endpoint.role,
             endpoint.draining,
-            heard.value,
+            outcome.value,
             before.instance if before else None,
             self._directory.revision,
         )
 
-    def _log_gone(self, name: str, lapse_ms: int) -> None:
+    def _log_removed(self, name: str, lapse_ms: int) -> None:
         logger.info(
             "event=endpoint_gone endpoint=%s lapse_ms=%d after_rev=%s",
             name,
--- a/saffronworks/tests/features/steps/bad_entries_steps.py
+++ b/saffronworks/tests/features/steps/bad_entries_steps.py
@@ -132,7 +132,7 @@
     assert sink.usable() == {"e0"} and len(sink.counted) == 10_000
     assert took_s < 0.5, took_s
     assert len(lines) <= servers.MAX_LOGGED_ENTRIES + 2, len(lines)
-    assert any("event=endpoints_unreadable not_told=9950" in line for line in lines), lines[-2:]
+    assert any("event=endpoints_unreadable not_logged=9950" in line for line in lines), lines[-2:]
 
 
 GARBLED = [b"null", b"5", b'{"metadata":5}', b'{"metadata":{"name":"x"},"spec":"\xff"}']
