--- a/saffronworks/platform/settings.py
+++ b/saffronworks/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays beside each process."""
+"""The settings file that the platform writes for each node."""
 
 import attrs
 from result import Err, Ok, Result
@@ -13,18 +13,18 @@
 __all__ = ["SETTINGS_VARIABLE", "PlatformSettings", "read_platform_settings"]
 
 SETTINGS_VARIABLE = "SAFFRONWORKS_NODE_FILE"
-# A watch waits at least so long, whatever the bounds: shorter ones are polls.
-WATCH_LEAST_MS = 500
-# The window in which quotas are judged where the settings name none.
+# Lower bound of a watch's wait, whatever the settings: shorter watches amount to polling.
+MIN_WATCH_WAIT_MS = 500
+# Window in which quotas are checked, if the settings name none.
 DEFAULT_QUOTA_WINDOW_S = 8.0
 BYTES_PER_MB = 1_000_000
-# The contract under which callers and endpoints may read slowly.
+# The contract that allows callers and endpoints to read slowly.
 SLOW_READERS_CONTRACT = "pressure"
 
 
 @attrs.frozen
 class PlatformSettings:
-    """What a node on the platform is told. Addresses are `IP:port`; unknown fields are ignored."""
+    """The settings of a node on the platform. Addresses are `IP:port`; unknown keys are ignored."""
 
     node: str
     ip: str
@@ -42,16 +42,16 @@
     watch_wait_ms: int
     known_within_ms: int
     follow_within_ms: int
-    # How long an endpoint that drains may still be sent requests.
+    # How long requests may still be sent to a draining endpoint.
     drain_ms: int
     cores: float
-    # None where no limit is told, or where callers and endpoints read as fast as they are sent to.
+    # None without a memory limit, or if callers and endpoints never read slowly.
     memory_bytes: int | None
     quota_bounds: Tolerance
 
 
 def read_platform_settings(text: str, file: str) -> Result[PlatformSettings, list[Finding]]:
-    """Read and check every field that is used; all findings at once."""
+    """Read and check every setting in use; the error lists all findings."""
     findings: list[Finding] = []
     root = read_yaml(text, file, findings)
     if root is None:
@@ -65,7 +65,7 @@
     bounds = root.section("bounds")
     limits = root.section("limits")
     store = root.section("platform")
-    known_ms = _known_within_ms(bounds)
+    known_within_ms = _known_within_ms(bounds)
     return PlatformSettings(
         node=root.text("node_name"),
         ip=root.text("ip"),
@@ -74,19 +74,21 @@
         probe_address=listen.address("ready"),
         peer_address=f"{root.text('ip')}:{_first_port(root)}",
         store_address=store.address("address"),
-        # Between SIGTERM and SIGKILL.
+        # Time between SIGTERM and SIGKILL.
         stop_grace_ms=int(bounds.number("grace_s") * 1000),
         retry_ratio=bounds.number("retry_budget_ratio"),
-        # Extra sends of the whole fleet in a window, whatever the number of requests.
+        # Retries that all nodes together may add per window, whatever the number of requests.
         retry_slack=bounds.number("retry_slack"),
         retry_window_ms=int(bounds.number("budget_window_s") * 1000),
         lease_ms=bounds.integer("lease_ms", 3000, least=1),
         thaw_slack_ms=bounds.integer("thaw_slack_ms", 300),
-        watch_wait_ms=max(WATCH_LEAST_MS, min(WATCH_WAIT_MOST_MS, known_ms - WATCH_MARGIN_MS)),
-        known_within_ms=known_ms,
+        watch_wait_ms=max(
+            MIN_WATCH_WAIT_MS, min(WATCH_WAIT_MOST_MS, known_within_ms - WATCH_MARGIN_MS)
+        ),
+        known_within_ms=known_within_ms,
         follow_within_ms=_follow_within_ms(bounds),
         drain_ms=_drain_ms(bounds),
-        # The share is of a core that runs `cores` times as fast.
+        # `cpu_share` is the share of one core, and `cores` the relative speed of that core.
         cores=limits.number("cpu_share", 1.0) * limits.number("cores", 1.0),
         memory_bytes=_memory_bytes(root, limits),
         quota_bounds=_quota_bounds(bounds),
@@ -100,7 +102,7 @@
 
 
 def _quota_bounds(bounds: Section) -> Tolerance:
-    """What is tolerated beyond quotas; the operator need not say where there are none."""
+    """Return the tolerated excess over quotas; the settings are optional without quotas."""
     return Tolerance(
         window_ms=max(1, int(bounds.number("quota_window_s", DEFAULT_QUOTA_WINDOW_S) * 1000)),
         overage=bounds.number("quota_overage", 0.0),
@@ -109,16 +111,17 @@
 
 
 def _known_within_ms(bounds: Section) -> int:
-    """How long after the end of trouble in the store a node goes by what the store says.
+    """Return the time after an outage of the store within which a node must be up to date.
 
-    It is expected to know what changes `contact_ms` after that within the shorter of the bounds on
-    configuration and on leaving servers. A watch that is lost when trouble ends is over before.
+    A change made `contact_ms` after the end of the outage has to be applied within the shorter of
+    the bounds on configuration and on draining servers. A watch that was lost at the end of the
+    outage times out earlier.
     """
     return bounds.integer("contact_ms", 3000, least=1) + _follow_within_ms(bounds)
 
 
 def _follow_within_ms(bounds: Section) -> int:
-    """Within how long a node goes by a change that the store has taken."""
+    """Return the time within which a node must apply a change that the store has accepted."""
     apply_ms = bounds.integer("config_apply_ms", 2000, least=1)
     return min(apply_ms, _drain_ms(bounds))
 
@@ -128,9 +131,9 @@
 
 
 def _first_port(root: Section) -> int:
-    """The first of the ports that are free for what nodes say to each other."""
+    """Return the first of the ports reserved for messages between nodes."""
     ports = root.texts("port_range")
     if not ports or not ports[0].isdigit():
-        root.complain("port_range", "expected the first and the last port")
+        root.complain("port_range", "expected the first and the last port number")
         return 0
     return int(ports[0])
