--- a/saffronworks/platform/settings_watch.py
+++ b/saffronworks/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes the settings file anew when it has changed, with a signal or without one."""
+"""Reloads the settings file when it changes, with or without a signal."""
 
 import logging
 from collections.abc import Callable
@@ -13,29 +13,29 @@
 
 logger = logging.getLogger(__name__)
 
-# The settings file may change without a signal.
-LOOK_MS = 2000
+# Interval of checks for a change of the file without a signal.
+POLL_INTERVAL_MS = 2000
 
 
 class SettingsWatch:
-    """Hands on each new content that has no findings; one that has some changes nothing."""
+    """Applies each valid version of the settings file; an invalid one is logged and ignored."""
 
-    def __init__(self, file: str, take: Callable[[PlatformSettings], None]):
+    def __init__(self, file: str, apply: Callable[[PlatformSettings], None]):
         self._file = file
-        self._take = take
+        self._apply = apply
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check the file for changes until cancelled."""
         last = self._read()
         while True:
-            await anyio.sleep(LOOK_MS / 1000)
+            await anyio.sleep(POLL_INTERVAL_MS / 1000)
             text = self._read()
             if text is not None and text != last:
                 last = text
                 self.reload()
 
     def reload(self) -> None:
-        """Take what the file holds now."""
+        """Read the file and apply its settings."""
         text = self._read()
         if text is None:
             return
@@ -44,7 +44,7 @@
             for finding in read.err_value:
                 logger.error("event=reload_refused finding=%r", str(finding))
             return
-        self._take(read.ok_value)
+        self._apply(read.ok_value)
 
     def _read(self) -> str | None:
         try:
