--- a/saffronworks/platform/store.py
+++ b/saffronworks/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store of objects: one connection pool, every call bounded."""
+"""Client of the platform's object store, with one connection pool and a timeout on every call."""
 
 import logging
 import socket
@@ -26,10 +26,11 @@
 
 T = TypeVar("T")
 
-# An answer takes 4 ms; one that is not there after this is taken as lost.
+# Answers usually take 4 ms; one that takes longer than this is considered lost.
 ANSWER_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.6
-# A watch waits for seconds, and a path that was cut says nothing: probes find it in two or three.
+# A watch waits for seconds, and a cut network path closes no connection: keepalive probes detect
+# it within two or three seconds.
 _KEEP_ALIVE = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -37,11 +38,16 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2000),
 ]
-# A listing comes in pages of about 500 objects; more pages than this are an endless loop.
-MOST_PAGES = 200
-# The epoch of the store, in each of its answers; a restore begins the next one.
+# A page of a listing has about 500 objects; more pages than this indicate an endless loop.
+MAX_PAGES = 200
+# Header of each answer with the store's epoch. A restore from a backup begins a new epoch.
 _EPOCH_FIELD = b"store-era"
-_BROKEN = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, OSError)
+_TRANSPORT_ERRORS = (
+    httpcore.NetworkError,
+    httpcore.TimeoutException,
+    httpcore.ProtocolError,
+    OSError,
+)
 _NOT_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 
 
@@ -92,7 +98,7 @@
 
 
 class PlatformStore:
-    """Calls to the store. A reply that can't be read is a failure with its reason."""
+    """Calls to the store. A malformed reply is a failure with its reason."""
 
     def __init__(self, address: str, epoch: StoreEpoch):
         self._address = address
@@ -107,41 +113,41 @@
         await self._pool.aclose()
 
     async def list_objects(self, kind: str, stale: bool = False) -> Result[Listing, SourceFailure]:
-        """All objects of a kind, page by page."""
+        """Return all objects of a kind, read page by page."""
         objects: list[StoredObject] = []
         revision: StoreRevision | None = None
         after = ""
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = [f"after={quote(after)}"] if after else []
             query += ["allow_stale=1"] if stale else []
             reply = await self._call("GET", _path(kind, query=query))
             if isinstance(reply, Err):
                 return reply
-            page = _read(reply.ok_value, _Page)
+            page = _decode(reply.ok_value, _Page)
             if isinstance(page, Err):
                 return page
             epoch = reply.ok_value.epoch
-            # Changes to earlier pages come after the revision of the first one.
+            # A watch from the first page's revision returns changes to pages already read.
             revision = revision or StoreRevision(epoch, page.ok_value.current_rev)
             if revision.epoch != epoch:
-                return Err(SourceFailure("restored between two pages"))
+                return Err(SourceFailure("the store was restored between two pages"))
             objects += _decode_each(page.ok_value.items, _Object, epoch)
             if not page.ok_value.has_more or not objects:
                 return Ok(Listing(tuple(objects), revision))
             after = objects[-1].name
-        return Err(SourceFailure("a listing without end"))
+        return Err(SourceFailure("the listing has too many pages"))
 
     async def watch(
         self, kind: str, revision: StoreRevision, wait_ms: int
     ) -> Result[Listing, HistoryGone | SourceFailure]:
-        """What changed since a revision; answers at the first change or after `wait_ms`."""
+        """Return the changes since a revision, at the first one or after `wait_ms` without any."""
         path = _path(kind, query=[f"watch={revision.number}", f"wait_ms={wait_ms}"])
         reply = await self._call("GET", path, wait_ms / 1000 + ANSWER_TIMEOUT_S)
         if isinstance(reply, Err):
             return Err(reply.err_value)
         if reply.ok_value.status == 410:
             return Err(HistoryGone())
-        changes = _read(reply.ok_value, _Changes)
+        changes = _decode(reply.ok_value, _Changes)
         if isinstance(changes, Err):
             return Err(changes.err_value)
         epoch = reply.ok_value.epoch
@@ -151,24 +157,24 @@
     async def create(
         self, kind: str, name: str, content: bytes
     ) -> Result[StoredObject, Conflict | SourceFailure]:
-        """Write an object that must not exist yet."""
+        """Write a new object; a Conflict if one of this name exists."""
         body = _encode(name, content, None)
         return _read_written(await self._call("POST", _path(kind), content=body))
 
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
     ) -> Result[StoredObject, Conflict | SourceFailure]:
-        """Write an object if it is still at that revision."""
+        """Write an object if it is still at this revision; else a Conflict."""
         body = _encode(name, content, revision.number)
         return _read_written(await self._call("PUT", _path(kind, name), content=body))
 
     async def remove(self, kind: str, name: str) -> Result[None, SourceFailure]:
-        """Remove an object; it is no failure when there is none."""
+        """Remove an object; succeeds if there is none."""
         reply = await self._call("DELETE", _path(kind, name))
         if isinstance(reply, Err):
             return reply
         status = reply.ok_value.status
-        return Ok(None) if status in (200, 202, 204, 404) else Err(_refused(reply.ok_value))
+        return Ok(None) if status in (200, 202, 204, 404) else Err(_rejected(reply.ok_value))
 
     async def _call(
         self, method: str, path: str, timeout_s: float = ANSWER_TIMEOUT_S, content: bytes = b""
@@ -188,21 +194,21 @@
             )
         except _NOT_SENT as error:
             return Err(SourceFailure(type(error).__name__))
-        except _BROKEN as error:
+        except _TRANSPORT_ERRORS as error:
             cut = not isinstance(error, httpcore.TimeoutException)
             return Err(SourceFailure(type(error).__name__, applied=writes, cut=cut))
         return Ok(_Reply(response.status, response.content, self._read_epoch(response.headers)))
 
     def _read_epoch(self, headers: list[tuple[bytes, bytes]]) -> int:
-        """The epoch of an answer; one that tells none is of the newest, or of epoch 0."""
+        """Return the epoch of an answer; without the header, the newest one known, or 0."""
         values = [value for name, value in headers if name.lower() == _EPOCH_FIELD]
         read = [read_whole(value.decode("latin-1")).ok() for value in values]
         if values and None in read and self._malformed_epoch != values[0]:
             self._malformed_epoch = values[0]
             logger.error("event=store_epoch_malformed found=%r", shorten(repr(values)))
-        told = max((epoch for epoch in read if epoch is not None), default=0)
-        newest = self._epoch.observe(told)
-        return told or newest
+        reported = max((epoch for epoch in read if epoch is not None), default=0)
+        newest = self._epoch.observe(reported)
+        return reported or newest
 
 
 def _path(kind: str, name: str = "", query: list[str] | None = None) -> str:
@@ -218,23 +224,23 @@
     return msgspec.json.encode({"metadata": metadata, "spec": msgspec.Raw(content)})
 
 
-def _refused(reply: _Reply) -> SourceFailure:
+def _rejected(reply: _Reply) -> SourceFailure:
     return SourceFailure(f"status {reply.status}")
 
 
-def _read(reply: _Reply, kind: type[T]) -> Result[T, SourceFailure]:
+def _decode(reply: _Reply, kind: type[T]) -> Result[T, SourceFailure]:
     if reply.status != 200:
-        return Err(_refused(reply))
+        return Err(_rejected(reply))
     try:
         return Ok(msgspec.json.decode(reply.content, type=kind))
     except msgspec.MsgspecError as error:
-        return Err(SourceFailure(f"unreadable: {error}"))
+        return Err(SourceFailure(f"malformed: {error}"))
 
 
 def _decode_each(
     items: list[msgspec.Raw], kind: type[_Object] | type[_Event], epoch: int
 ) -> list[StoredObject]:
-    """The objects of a page; one that can't be read is left out, and hides no other."""
+    """Decode the objects of a page; a malformed one is logged and left out."""
     objects = []
     for item in items:
         try:
@@ -253,13 +259,13 @@
         return Err(reply.err_value)
     status, content = reply.ok_value.status, reply.ok_value.content
     if status not in (200, 201, 409):
-        return Err(_refused(reply.ok_value))
+        return Err(_rejected(reply.ok_value))
     try:
         found = msgspec.json.decode(content, type=_Object)
         stored: StoredObject | None = found.decode(reply.ok_value.epoch)
     except msgspec.MsgspecError as error:
         if status != 409:
-            return Err(SourceFailure(f"unreadable: {error}", applied=True))
+            return Err(SourceFailure(f"malformed: {error}", applied=True))
         logger.info("event=conflict_unreadable error=%r", str(error))
         stored = None
     if status == 409:
