--- a/saffronworks/module_archive.py
+++ b/saffronworks/module_archive.py
@@ -1,11 +1,11 @@
-"""Loads the modules of a start from one file, in place of several files for each of them.
+"""Loads the modules that a program imports at its start from a single archive file.
 
-A node imports some 470 modules, and looking for their files takes most of the system calls of its
-start. The build imports the program once and writes the code of every module that was loaded;
-the program then finds them there. Whatever is not in the archive is imported as usual.
+A node imports about 470 modules, and most system calls of its start search for their files. The
+build imports the program once and writes the code of all loaded modules to the archive. Modules
+that are not in the archive are imported as usual.
 
-attrs generates the methods of some 230 classes as source text; compiling it takes a quarter of the
-processor time of a start. The archive holds that code as well.
+attrs generates the methods of about 230 classes as source text, and compiling them takes a quarter
+of the processor time of a start. The archive therefore holds the compiled methods as well.
 """
 
 import importlib.util
@@ -27,20 +27,20 @@
 __all__ = ["BadArchive", "archived_imports", "record_generated", "write_archive"]
 
 _LENGTH_BYTES = 8
-# Modules are stored in the order in which a start loads them, so few reads serve all.
+# Modules are stored in the order of their import, so a few large reads cover all of them.
 _READ_BYTES = 1 << 20
-_LIBRARY = os.path.dirname(os.__file__)
+_STANDARD_LIBRARY = os.path.dirname(os.__file__)
 
-# Name, whether its path is relative to the root (else to the standard library), path, whether it is
-# a package, offset and length of its code; a length of 0 stands for an extension module.
+# Name, whether the path is relative to the root (else to the standard library), path, whether it is
+# a package, offset and length of the code. Extension modules have a length of 0.
 _Entry = tuple[str, bool, str, bool, int, int]
-# Code of generated methods by the file name that attrs makes up from module and class. Their text
-# differs between processes by the salt of the hash function, which may be any constant.
+# Code of generated methods by the pseudo file name that attrs derives from module and class. Their
+# source differs between processes only in the salt of `__hash__`, for which any constant is valid.
 _Generated = dict[str, CodeType]
 
 
 class BadArchive(Exception):
-    """The file is no archive, or was written by another version of the interpreter."""
+    """The file is not a valid archive, or another version of the interpreter wrote it."""
 
 
 class _ArchivedLoader(SourceFileLoader):
@@ -51,29 +51,29 @@
         self._archive = archive
 
     def get_code(self, fullname: str) -> CodeType | None:
-        """The code of a module; of another one than the loader's, from its source."""
+        """Return the code of a module; if it is not in the archive, from its source."""
         return self._archive.read_code(fullname) or super().get_code(fullname)
 
 
 class _Archive:
-    """A finder of the modules in an open archive."""
+    """An import finder for the modules in an open archive."""
 
     def __init__(self, file: BinaryIO, root: str):
         self._file = file
         self._root = root
         self._lock = threading.Lock()
-        entries, self.generated, self._code_from = _read_index(file)
+        entries, self.generated, self._code_offset = _read_index(file)
         self._entries = {entry[0]: entry for entry in entries}
 
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """The spec of an archived module; None leaves it to the other finders."""
+        """Return the spec of an archived module, or None to defer to the other finders."""
         entry = self._entries.get(name)
         if entry is None:
             return None
-        _, in_root, relative, is_package, _, length = entry
-        file = os.path.join(self._root if in_root else _LIBRARY, relative)
+        _, is_in_root, relative, is_package, _, length = entry
+        file = os.path.join(self._root if is_in_root else _STANDARD_LIBRARY, relative)
         loader: Any = (
             _ArchivedLoader(self, name, file) if length else ExtensionFileLoader(name, file)
         )
@@ -85,12 +85,12 @@
         )
 
     def read_code(self, name: str) -> CodeType | None:
-        """The code object of an archived module."""
+        """Return the code object of an archived module, None if it has none here."""
         entry = self._entries.get(name)
         if entry is None or not entry[5]:
             return None
         with self._lock:
-            self._file.seek(self._code_from + entry[4])
+            self._file.seek(self._code_offset + entry[4])
             return marshal.loads(self._file.read(entry[5]))
 
 
@@ -98,49 +98,49 @@
     size = os.fstat(file.fileno()).st_size
     length = int.from_bytes(file.read(_LENGTH_BYTES), "big")
     if length > size:
-        raise BadArchive("its index is cut off")
+        raise BadArchive("the index is truncated")
     try:
         magic, entries, generated = marshal.loads(file.read(length))
     except (EOFError, ValueError, TypeError) as error:
-        raise BadArchive(f"no index: {error}") from error
+        raise BadArchive(f"the index is malformed: {error}") from error
     if magic != importlib.util.MAGIC_NUMBER:
         raise BadArchive("written by another version of the interpreter")
-    code_from = _LENGTH_BYTES + length
-    if size != code_from + sum(entry[5] for entry in entries):
-        raise BadArchive("its code is cut off")
-    return entries, generated, code_from
+    code_offset = _LENGTH_BYTES + length
+    if size != code_offset + sum(entry[5] for entry in entries):
+        raise BadArchive("the code is truncated")
+    return entries, generated, code_offset
 
 
 @contextmanager
 def archived_imports(path: str, root: str) -> Iterator[None]:
-    """Import from the archive at `path` first; paths of modules are relative to `root`.
+    """Import modules from the archive at `path` where possible; module paths are below `root`.
 
-    Raises OSError or BadArchive, and changes nothing then.
+    Raises OSError or BadArchive before it changes the import system.
     """
     with open(path, "rb", buffering=_READ_BYTES) as file:
         archive = _Archive(file, root)
         sys.meta_path.insert(0, archive)
-        _compile_by(archive.generated)
+        _install_compile(archive.generated)
         try:
             yield
         finally:
             sys.meta_path.remove(archive)
-            _compile_as_usual()
+            _restore_compile()
 
 
 def record_generated() -> _Generated:
-    """The code that attrs generates from now on, for `write_archive`."""
+    """Return a dict that collects the code that attrs generates from now on."""
     generated: _Generated = {}
-    _compile_by(generated)
+    _install_compile(generated)
     return generated
 
 
-def _compile_by(generated: _Generated) -> None:
-    """Have attrs look for generated code here first; what is new is compiled and added.
+def _install_compile(generated: _Generated) -> None:
+    """Make attrs take compiled code from `generated`, and add to it what it has to compile.
 
-    attrs compiles by the built-in function, which a global of its module hides.
+    attrs calls the builtin `compile`; a global of this name in its module shadows the builtin.
     """
-    import attr._make as attrs_module  # noqa: PLC0415  # from the archive, once that is installed
+    import attr._make as attrs_module  # noqa: PLC0415  # so that it is loaded from the archive
 
     def compile_once(source: str, filename: str, mode: str) -> CodeType:
         if filename not in generated:
@@ -150,14 +150,14 @@
     vars(attrs_module)["compile"] = compile_once
 
 
-def _compile_as_usual() -> None:
-    import attr._make as attrs_module  # noqa: PLC0415  # see _compile_by
+def _restore_compile() -> None:
+    import attr._make as attrs_module  # noqa: PLC0415  # see _install_compile
 
     vars(attrs_module).pop("compile", None)
 
 
 def write_archive(path: str, root: str, generated: _Generated) -> int:
-    """Write all modules that this process has loaded from files, and code that attrs generated.
+    """Write all modules that this process has loaded from files, and the code in `generated`.
 
     Returns the number of modules.
     """
@@ -176,11 +176,11 @@
         codes.append(code)
         offset += len(code)
     index = marshal.dumps((importlib.util.MAGIC_NUMBER, entries, generated))
-    # A process that starts meanwhile reads the old file or the new one, never a part.
-    unfinished = f"{path}.new"
-    with open(unfinished, "wb") as file:
+    # The rename is atomic: a process that starts meanwhile never reads a partial file.
+    temporary = f"{path}.new"
+    with open(temporary, "wb") as file:
         file.write(len(index).to_bytes(_LENGTH_BYTES, "big") + index + b"".join(codes))
-    os.replace(unfinished, path)
+    os.replace(temporary, path)
     return len(entries)
 
 
@@ -194,8 +194,11 @@
 
 
 def _locate(file: str, root: str) -> tuple[bool, str] | None:
-    """Whether a file is below the root, and its path from there or from the standard library."""
-    for in_root, base in ((True, root), (False, _LIBRARY)):
+    """Return whether a file is below the root, and its path relative to its base directory.
+
+    The base is the root or the standard library; None for files elsewhere.
+    """
+    for is_in_root, base in ((True, root), (False, _STANDARD_LIBRARY)):
         if file.startswith(base + os.sep):
-            return in_root, os.path.relpath(file, base)
+            return is_in_root, os.path.relpath(file, base)
     return None
