--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,6 +1,6 @@
-"""Starts a node on the platform, with its modules from the archive that the build wrote.
+"""Starts a node on the platform, with modules from the archive that the build wrote.
 
-`python3 -S deploy/start.py --archive` writes the archive; any other words go to the node.
+`python3 -S deploy/start.py --archive` writes the archive. Other arguments are passed to the node.
 """
 
 import gc
@@ -14,9 +14,9 @@
 
 def main() -> None:
     """Write the archive, or run a node."""
-    # The first entry is this script's folder.
+    # The first entry is the folder of this script.
     sys.path[0] = ROOT
-    # What is imported stays for good; a node collects garbage from its own start on.
+    # Imported objects are never freed; the node enables garbage collection after its imports.
     gc.disable()
     from saffronworks import module_archive  # noqa: PLC0415
 
@@ -35,7 +35,7 @@
 
 
 def import_program() -> Callable[[], None]:
-    """The main function of a node."""
+    """Import the node's modules and return its main function."""
     from saffronworks.platform.__main__ import main as run_node  # noqa: PLC0415
 
     return run_node
