--- a/deploy/day_files.py
+++ b/deploy/day_files.py
@@ -1,10 +1,11 @@
-"""Writes `deploy/days/`: days of the users' bench, for any of its sites.
-
-For each kind of trouble a day with a burst and, at its hardest moment, the trouble, then the
-trouble again beside another one. Beside these, mixed days, on which many troubles overlap: a pair
-of faults of endpoints that break answers, and others around them; and days on which organisations
-ask for far more than their quotas while keys and quotas change and nodes end or hear few others;
-and days on which several troubles strike at once, again and again.
+"""Writes `deploy/days/`: days for the users' bench, each a schedule of faults and planned events.
+
+There are four kinds of days, for any site of the bench:
+- one for each event: the event at the peak of a burst, then again while another event overlaps;
+- mixed: two faults that break answers, three times each, and other events at random times;
+- organisations: two organisations send far more than their quotas while keys and quotas change
+  and nodes fail or are cut off;
+- simultaneous: several events at once, three times.
 """
 
 import random
@@ -12,17 +13,17 @@
 
 import attrs
 
-__all__ = ["TROUBLES", "main"]
+__all__ = ["EVENTS", "main"]
 
 OUTPUT = Path("deploy/days")
 FIRST_S = 5.0
 SECOND_S = 15.0
-ACROSS_S = 16.0
+OVERLAP_S = 16.0
 
 
 @attrs.frozen
-class Trouble:
-    """One entry of a day; `fields` is its text without kind and time, `planned` its table."""
+class DayEvent:
+    """One entry of a day; `fields` is TOML text, `planned` selects the table `plan` or `faults`."""
 
     name: str
     kind: str
@@ -30,72 +31,72 @@
     planned: bool = False
 
     def entry(self, at_s: float) -> str:
-        """The line of a day."""
+        """Return the TOML line of this event at a time in the day."""
         fields = f", {self.fields}" if self.fields else ""
         return f'  {{ at = {at_s}, kind = "{self.kind}"{fields} }},'
 
 
-TROUBLES = (
-    Trouble("retry-abuse", "retry_abuse", "share = 0.4, x = 4.0, for_s = 6.0"),
-    Trouble("give-up", "give_up", "share = 0.4, for_s = 6.0"),
-    Trouble("crash", "srv_crash", "share = 0.3, for_s = 4.0"),
-    Trouble("crash-dark", "srv_crash", 'share = 0.3, for_s = 4.0, how = "dark"'),
-    Trouble("crash-gone", "srv_crash", 'share = 0.2, how = "gone"'),
-    Trouble("slow", "srv_slow", "share = 0.3, x = 5.0, for_s = 6.0"),
-    Trouble("grey-errors", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "errors"'),
-    Trouble("grey-shed", "srv_grey", 'share = 0.3, x = 0.5, for_s = 6.0, how = "shed"'),
-    Trouble("grey-hang", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "hang"'),
-    Trouble("grey-reset", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "reset"'),
-    Trouble("grey-mute", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "mute"'),
-    Trouble("release", "release", "share = 1.0, x = 1.0, gap_s = 0.8", planned=True),
-    Trouble("scale-in", "scale_in", "share = 0.2", planned=True),
-    Trouble("scale-in-spot", "scale_in", 'share = 0.2, how = "spot"', planned=True),
-    Trouble("scale-out", "scale_out", "share = 0.3", planned=True),
-    Trouble("answer-lost", "answer_lost", "share = 0.6, x = 0.2, for_s = 6.0"),
-    Trouble("answer-reset", "answer_lost", 'share = 0.6, x = 0.2, for_s = 6.0, how = "reset"'),
-    Trouble("garble", "garble", "share = 0.6, x = 0.1, for_s = 6.0"),
-    Trouble("garble-extra", "garble", 'share = 0.6, x = 0.1, for_s = 6.0, how = "extra late"'),
-    Trouble("garble-unframed", "garble", 'share = 0.6, x = 0.2, for_s = 6.0, how = "unframed"'),
-    Trouble("garble-early", "garble", 'share = 0.6, x = 0.2, for_s = 6.0, how = "early"'),
-    Trouble("node-kill", "node_kill", "share = 0.4"),
-    Trouble("node-power", "node_kill", 'share = 0.4, for_s = 3.0, how = "power"'),
-    Trouble("node-freeze", "node_freeze", "share = 0.4, for_s = 4.0"),
-    Trouble("node-slow", "node_slow", "share = 0.4, x = 5.0, for_s = 5.0"),
-    Trouble("roll-term", "roll_term", "share = 1.0, gap_s = 0.8", planned=True),
-    Trouble("roll-busy", "roll_term", 'share = 1.0, gap_s = 0.5, how = "busy"', planned=True),
-    Trouble("herd-kill", "herd_kill", "share = 1.0"),
-    Trouble("add-nodes", "add_nodes", "", planned=True),
-    Trouble("replace", "replace_core", 'x = 1.0, how = "leader"'),
-    Trouble("clock-step", "clock_step", "share = 0.5, x = 4000.0, for_s = 5.0"),
-    Trouble("clock-back", "clock_step", 'share = 0.5, x = 4000.0, for_s = 5.0, how = "back"'),
-    Trouble("hup", "hup", "share = 1.0", planned=True),
-    Trouble("core-cut", "core_cut", 'count = 3, for_s = 5.0, how = "leader race"'),
-    Trouble("core-cut-reset", "core_cut", 'count = 3, for_s = 5.0, how = "reset"'),
-    Trouble("node-cut", "node_cut", 'share = 0.4, for_s = 6.0, how = "meet drain"'),
-    Trouble("node-cut-servers", "node_cut", 'share = 0.4, for_s = 5.0, how = "servers"'),
-    Trouble("server-cut", "srv_cut", 'share = 0.3, for_s = 5.0, how = "fronts"'),
-    Trouble("reuse", "replace_with_reuse", "share = 0.3"),
-    Trouble("reuse-dark", "replace_with_reuse", 'share = 0.3, how = "dark"'),
-    Trouble("reuse-drain", "replace_with_reuse", 'share = 0.3, how = "drain"'),
-    Trouble("lossy", "lossy", "x = 0.05, for_s = 6.0"),
-    Trouble("reset-conns", "reset_conns", "share = 0.6, x = 0.5"),
-    Trouble("store-silent", "platform_down", 'for_s = 4.0, how = "silent lapse"'),
-    Trouble("store-busy", "platform_down", 'for_s = 5.0, how = "busy"'),
-    Trouble("store-nodes", "platform_down", 'share = 0.5, for_s = 5.0, how = "nodes reset drain"'),
-    Trouble("store-slow", "platform_slow", "x = 80.0, for_s = 5.0"),
-    Trouble("store-lost", "platform_lost", 'x = 0.5, for_s = 5.0, how = "late"'),
-    Trouble("store-compact", "platform_compact", 'x = 5.0, for_s = 6.0, how = "drain"'),
-    Trouble("config-route", "config_change", 'how = "route"', planned=True),
-    Trouble("config-weights", "config_change", 'how = "weights"', planned=True),
-    Trouble("config-timeout", "config_change", 'how = "timeout"', planned=True),
-    Trouble("orders-late", "applied_late", 'x = 0.6, for_s = 8.0, how = "orders"'),
-    Trouble("moves-slow", "kv_slow", "share = 0.5, for_s = 6.0"),
-    Trouble("handles-short", "handle_short", "share = 0.5, for_s = 5.0"),
+EVENTS = (
+    DayEvent("retry-abuse", "retry_abuse", "share = 0.4, x = 4.0, for_s = 6.0"),
+    DayEvent("give-up", "give_up", "share = 0.4, for_s = 6.0"),
+    DayEvent("crash", "srv_crash", "share = 0.3, for_s = 4.0"),
+    DayEvent("crash-dark", "srv_crash", 'share = 0.3, for_s = 4.0, how = "dark"'),
+    DayEvent("crash-gone", "srv_crash", 'share = 0.2, how = "gone"'),
+    DayEvent("slow", "srv_slow", "share = 0.3, x = 5.0, for_s = 6.0"),
+    DayEvent("grey-errors", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "errors"'),
+    DayEvent("grey-shed", "srv_grey", 'share = 0.3, x = 0.5, for_s = 6.0, how = "shed"'),
+    DayEvent("grey-hang", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "hang"'),
+    DayEvent("grey-reset", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "reset"'),
+    DayEvent("grey-mute", "srv_grey", 'share = 0.3, x = 0.4, for_s = 6.0, how = "mute"'),
+    DayEvent("release", "release", "share = 1.0, x = 1.0, gap_s = 0.8", planned=True),
+    DayEvent("scale-in", "scale_in", "share = 0.2", planned=True),
+    DayEvent("scale-in-spot", "scale_in", 'share = 0.2, how = "spot"', planned=True),
+    DayEvent("scale-out", "scale_out", "share = 0.3", planned=True),
+    DayEvent("answer-lost", "answer_lost", "share = 0.6, x = 0.2, for_s = 6.0"),
+    DayEvent("answer-reset", "answer_lost", 'share = 0.6, x = 0.2, for_s = 6.0, how = "reset"'),
+    DayEvent("garble", "garble", "share = 0.6, x = 0.1, for_s = 6.0"),
+    DayEvent("garble-extra", "garble", 'share = 0.6, x = 0.1, for_s = 6.0, how = "extra late"'),
+    DayEvent("garble-unframed", "garble", 'share = 0.6, x = 0.2, for_s = 6.0, how = "unframed"'),
+    DayEvent("garble-early", "garble", 'share = 0.6, x = 0.2, for_s = 6.0, how = "early"'),
+    DayEvent("node-kill", "node_kill", "share = 0.4"),
+    DayEvent("node-power", "node_kill", 'share = 0.4, for_s = 3.0, how = "power"'),
+    DayEvent("node-freeze", "node_freeze", "share = 0.4, for_s = 4.0"),
+    DayEvent("node-slow", "node_slow", "share = 0.4, x = 5.0, for_s = 5.0"),
+    DayEvent("roll-term", "roll_term", "share = 1.0, gap_s = 0.8", planned=True),
+    DayEvent("roll-busy", "roll_term", 'share = 1.0, gap_s = 0.5, how = "busy"', planned=True),
+    DayEvent("herd-kill", "herd_kill", "share = 1.0"),
+    DayEvent("add-nodes", "add_nodes", "", planned=True),
+    DayEvent("replace", "replace_core", 'x = 1.0, how = "leader"'),
+    DayEvent("clock-step", "clock_step", "share = 0.5, x = 4000.0, for_s = 5.0"),
+    DayEvent("clock-back", "clock_step", 'share = 0.5, x = 4000.0, for_s = 5.0, how = "back"'),
+    DayEvent("hup", "hup", "share = 1.0", planned=True),
+    DayEvent("core-cut", "core_cut", 'count = 3, for_s = 5.0, how = "leader race"'),
+    DayEvent("core-cut-reset", "core_cut", 'count = 3, for_s = 5.0, how = "reset"'),
+    DayEvent("node-cut", "node_cut", 'share = 0.4, for_s = 6.0, how = "meet drain"'),
+    DayEvent("node-cut-servers", "node_cut", 'share = 0.4, for_s = 5.0, how = "servers"'),
+    DayEvent("server-cut", "srv_cut", 'share = 0.3, for_s = 5.0, how = "fronts"'),
+    DayEvent("reuse", "replace_with_reuse", "share = 0.3"),
+    DayEvent("reuse-dark", "replace_with_reuse", 'share = 0.3, how = "dark"'),
+    DayEvent("reuse-drain", "replace_with_reuse", 'share = 0.3, how = "drain"'),
+    DayEvent("lossy", "lossy", "x = 0.05, for_s = 6.0"),
+    DayEvent("reset-conns", "reset_conns", "share = 0.6, x = 0.5"),
+    DayEvent("store-silent", "platform_down", 'for_s = 4.0, how = "silent lapse"'),
+    DayEvent("store-busy", "platform_down", 'for_s = 5.0, how = "busy"'),
+    DayEvent("store-nodes", "platform_down", 'share = 0.5, for_s = 5.0, how = "nodes reset drain"'),
+    DayEvent("store-slow", "platform_slow", "x = 80.0, for_s = 5.0"),
+    DayEvent("store-lost", "platform_lost", 'x = 0.5, for_s = 5.0, how = "late"'),
+    DayEvent("store-compact", "platform_compact", 'x = 5.0, for_s = 6.0, how = "drain"'),
+    DayEvent("config-route", "config_change", 'how = "route"', planned=True),
+    DayEvent("config-weights", "config_change", 'how = "weights"', planned=True),
+    DayEvent("config-timeout", "config_change", 'how = "timeout"', planned=True),
+    DayEvent("orders-late", "applied_late", 'x = 0.6, for_s = 8.0, how = "orders"'),
+    DayEvent("moves-slow", "kv_slow", "share = 0.5, for_s = 6.0"),
+    DayEvent("handles-short", "handle_short", "share = 0.5, for_s = 5.0"),
 )
 
 
-# Pairs of ways in which endpoints break answers: an answer that broke goes on at an endpoint that
-# fails it in another way.
+# Faults of endpoints that break answers. A mixed day has two of them, so that an answer broken by
+# one continues at an endpoint with the other.
 ANSWER_FAULTS = (
     "grey-errors",
     "grey-hang",
@@ -108,22 +109,24 @@
     "garble-unframed",
     "crash",
 )
-# Two organisations run hot, one across the other.
-HOT_ORGANISATIONS = (
-    Trouble("hot-first", "hot_tenant", "x = 7.5, for_s = 9.0, count = 1"),
-    Trouble("hot-second", "hot_tenant", "x = 9.0, for_s = 9.0, count = 2"),
+# Two organisations exceed their quotas at overlapping times.
+EXCESS_LOAD = (
+    DayEvent("hot-first", "hot_tenant", "x = 7.5, for_s = 9.0, count = 1"),
+    DayEvent("hot-second", "hot_tenant", "x = 9.0, for_s = 9.0, count = 2"),
 )
-# What the operator changes meanwhile, and what it does while some nodes hear nothing of it.
+# Changes by the operator, some of them while a part of the nodes can't reach the store.
 ORGANISATION_CHANGES = (
-    Trouble("quota", "config_change", 'how = "quota"', planned=True),
-    Trouble("quota-down", "config_change", 'how = "quota down"', planned=True),
-    Trouble("topup", "config_change", 'how = "topup"', planned=True),
-    Trouble("revoke", "revoke", "count = 3, gap_s = 0.4", planned=True),
-    Trouble("revoke-last", "revoke", 'count = 2, gap_s = 0.5, how = "last"', planned=True),
-    Trouble("store-revoke", "platform_down", 'share = 0.4, for_s = 8.0, how = "nodes busy revoke"'),
-    Trouble("cut-revoke", "platform_down", 'share = 0.4, for_s = 8.0, how = "nodes revoke meet"'),
+    DayEvent("quota", "config_change", 'how = "quota"', planned=True),
+    DayEvent("quota-down", "config_change", 'how = "quota down"', planned=True),
+    DayEvent("topup", "config_change", 'how = "topup"', planned=True),
+    DayEvent("revoke", "revoke", "count = 3, gap_s = 0.4", planned=True),
+    DayEvent("revoke-last", "revoke", 'count = 2, gap_s = 0.5, how = "last"', planned=True),
+    DayEvent(
+        "store-revoke", "platform_down", 'share = 0.4, for_s = 8.0, how = "nodes busy revoke"'
+    ),
+    DayEvent("cut-revoke", "platform_down", 'share = 0.4, for_s = 8.0, how = "nodes revoke meet"'),
 )
-NODE_TROUBLES = (
+NODE_EVENTS = (
     "node-kill",
     "node-power",
     "node-freeze",
@@ -137,63 +140,63 @@
     "reset-conns",
     "lossy",
 )
-# Troubles that strike together, three times over: endpoints drain while the store is away, and
-# reject half of a burst.
-TOGETHER = {
+# Events that happen at once, three times a day: endpoints drain while the store is unavailable, and
+# endpoints reject half of the requests in a burst.
+SIMULTANEOUS_EVENTS = {
     "drain-store-away": (
-        Trouble("release-all", "release", "share = 1.0, x = 1.0, gap_s = 1.0", planned=True),
-        Trouble("scale-in-third", "scale_in", "share = 0.34", planned=True),
-        Trouble("store-away", "platform_down", 'for_s = 7.0, how = "silent"'),
+        DayEvent("release-all", "release", "share = 1.0, x = 1.0, gap_s = 1.0", planned=True),
+        DayEvent("scale-in-third", "scale_in", "share = 0.34", planned=True),
+        DayEvent("store-away", "platform_down", 'for_s = 7.0, how = "silent"'),
     ),
     "reject-burst": (
-        Trouble("shed-most", "srv_grey", 'share = 0.6, x = 0.5, for_s = 8.0, how = "shed"'),
-        Trouble("burst", "burst", "x = 2.0, for_s = 8.0"),
+        DayEvent("shed-most", "srv_grey", 'share = 0.6, x = 0.5, for_s = 8.0, how = "shed"'),
+        DayEvent("burst", "burst", "x = 2.0, for_s = 8.0"),
     ),
 }
 ORGANISATION_DAYS = 6
 MIXED_DAYS = 8
-MIXED_TROUBLES = 8
+MIXED_EVENT_COUNT = 8
 MIXED_FROM_S, MIXED_UNTIL_S = 3.0, 28.0
 
 
-def write_day(trouble: Trouble, across: Trouble, seed: int) -> str:
-    """One day: the trouble, then the trouble again with another one across it."""
-    entries = [(FIRST_S, trouble), (SECOND_S, trouble), (ACROSS_S, across)]
-    return _write(trouble.name, seed, entries)
+def format_day(event: DayEvent, overlapping: DayEvent, seed: int) -> str:
+    """Return a day with an event, and the event again while another one overlaps."""
+    entries = [(FIRST_S, event), (SECOND_S, event), (OVERLAP_S, overlapping)]
+    return _format(event.name, seed, entries)
 
 
-def write_mixed_day(seed: int) -> str:
-    """One day: two faults of answers three times over, and other troubles at any moment."""
+def format_mixed_day(seed: int) -> str:
+    """Return a day with two answer faults, three times each, and other events at random times."""
     rng = random.Random(seed)
-    by_name = {trouble.name: trouble for trouble in TROUBLES}
-    pair = [by_name[name] for name in rng.sample(ANSWER_FAULTS, 2)]
-    entries = [(at_s, trouble) for at_s in (4.0, 14.0, 24.0) for trouble in pair]
-    for trouble in rng.sample(TROUBLES, MIXED_TROUBLES):
-        entries.append((round(rng.uniform(MIXED_FROM_S, MIXED_UNTIL_S), 1), trouble))
-    return _write(f"mixed-{seed}", seed, entries)
+    by_name = {event.name: event for event in EVENTS}
+    fault_pair = [by_name[name] for name in rng.sample(ANSWER_FAULTS, 2)]
+    entries = [(at_s, event) for at_s in (4.0, 14.0, 24.0) for event in fault_pair]
+    for event in rng.sample(EVENTS, MIXED_EVENT_COUNT):
+        entries.append((round(rng.uniform(MIXED_FROM_S, MIXED_UNTIL_S), 1), event))
+    return _format(f"mixed-{seed}", seed, entries)
 
 
-def write_organisation_day(seed: int) -> str:
-    """One day: two organisations run hot twice, changes and trouble of nodes at any moment."""
+def format_organisation_day(seed: int) -> str:
+    """Return a day with excess load twice, and changes and node faults at random times."""
     rng = random.Random(seed)
-    by_name = {trouble.name: trouble for trouble in TROUBLES}
-    entries = [(at_s, hot) for at_s in (5.0, 17.0) for hot in HOT_ORGANISATIONS]
-    for trouble in rng.sample(ORGANISATION_CHANGES, 5):
-        entries.append((round(rng.uniform(MIXED_FROM_S, MIXED_UNTIL_S), 1), trouble))
-    for name in rng.sample(NODE_TROUBLES, 4):
+    by_name = {event.name: event for event in EVENTS}
+    entries = [(at_s, load) for at_s in (5.0, 17.0) for load in EXCESS_LOAD]
+    for event in rng.sample(ORGANISATION_CHANGES, 5):
+        entries.append((round(rng.uniform(MIXED_FROM_S, MIXED_UNTIL_S), 1), event))
+    for name in rng.sample(NODE_EVENTS, 4):
         entries.append((round(rng.uniform(MIXED_FROM_S, MIXED_UNTIL_S), 1), by_name[name]))
-    return _write(f"organisations-{seed}", seed, entries)
+    return _format(f"organisations-{seed}", seed, entries)
 
 
-def write_day_of(name: str, troubles: tuple[Trouble, ...], seed: int) -> str:
-    """One day: all of these troubles at once, three times over."""
-    entries = [(at_s, trouble) for at_s in (5.0, 15.0, 25.0) for trouble in troubles]
-    return _write(name, seed, entries)
+def format_simultaneous_day(name: str, events: tuple[DayEvent, ...], seed: int) -> str:
+    """Return a day with all of these events at once, three times."""
+    entries = [(at_s, event) for at_s in (5.0, 15.0, 25.0) for event in events]
+    return _format(name, seed, entries)
 
 
-def _write(name: str, seed: int, entries: list[tuple[float, Trouble]]) -> str:
+def _format(name: str, seed: int, entries: list[tuple[float, DayEvent]]) -> str:
     lines = {
-        planned: [trouble.entry(at_s) for at_s, trouble in entries if trouble.planned is planned]
+        planned: [event.entry(at_s) for at_s, event in entries if event.planned is planned]
         for planned in (True, False)
     }
     text = [
@@ -215,19 +218,19 @@
 
 
 def main() -> None:
-    """Write all day files; each trouble meets the one some places further on."""
+    """Write all day files; the overlapping event of a day is another one of `EVENTS`."""
     OUTPUT.mkdir(parents=True, exist_ok=True)
-    for index, trouble in enumerate(TROUBLES):
-        across = TROUBLES[(index * 7 + 11) % len(TROUBLES)]
-        text = write_day(trouble, across, 1000 + index)
-        (OUTPUT / f"{trouble.name}.toml").write_text(text, encoding="utf-8")
+    for index, event in enumerate(EVENTS):
+        overlapping = EVENTS[(index * 7 + 11) % len(EVENTS)]
+        text = format_day(event, overlapping, 1000 + index)
+        (OUTPUT / f"{event.name}.toml").write_text(text, encoding="utf-8")
     for seed in range(1, MIXED_DAYS + 1):
-        (OUTPUT / f"mixed-{seed}.toml").write_text(write_mixed_day(seed), encoding="utf-8")
+        (OUTPUT / f"mixed-{seed}.toml").write_text(format_mixed_day(seed), encoding="utf-8")
     for seed in range(1, ORGANISATION_DAYS + 1):
-        text = write_organisation_day(seed)
+        text = format_organisation_day(seed)
         (OUTPUT / f"organisations-{seed}.toml").write_text(text, encoding="utf-8")
-    for seed, (name, troubles) in enumerate(TOGETHER.items(), 1):
-        text = write_day_of(name, troubles, seed)
+    for seed, (name, events) in enumerate(SIMULTANEOUS_EVENTS.items(), 1):
+        text = format_simultaneous_day(name, events, seed)
         (OUTPUT / f"{name}.toml").write_text(text, encoding="utf-8")
 
 
