--- a/saffronworks/tests/features/steps/identity_steps.py
+++ b/saffronworks/tests/features/steps/identity_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on keys and organisations, on the whole path over loopback."""
+"""Scenarios on API keys and organisations, with whole nodes over loopback."""
 
 import asyncio
 import logging
@@ -28,8 +28,8 @@
     "a key of 8 KB": {"Key": "k" * 8192},
     "a key that is no ASCII": {"Key": "k\u00e9y"},
 }
-# Within which a change in the store is in force at a node that hears it.
-KNOWN_S = 0.5
+# Time within which a node that reaches the store applies a change.
+APPLIED_WITHIN_S = 0.5
 
 
 def without_first_key(version=9):
@@ -41,23 +41,21 @@
     return int(raw.split(b" ")[1])
 
 
-@when("callers send keys, and forged fields in several spellings")
-def forged(context):
+@when("callers send keys, and header fields that only the router may set in several spellings")
+def router_fields(context):
     context.servers_used = web_servers()
 
     async def play(place):
-        forged = {"Tenant": "wimo11", "TENANT": "x", "Request-Priority": "0"}
+        router_fields = {"Tenant": "wimo11", "TENANT": "x", "Request-Priority": "0"}
         for number, key in enumerate(KEYS):
-            fields = {"kEy": key, "Connection": "close, key"} | forged
+            fields = {"kEy": key, "Connection": "close, key"} | router_fields
             raw = await place.ask("/once/", f"r{number}", fields, b"hello")
             assert status(raw) == 200, raw
 
     on_platform(context.servers_used, play, config=KEYED)
 
 
-@then(
-    "endpoints see the organisation that holds the key, and nothing of a key or of what was forged"
-)
+@then("endpoints see the organisation that owns the key, and neither a key nor those fields")
 def sees_organisation(context):
     seen = [headers for _, _, headers, _ in context.servers_used[0].seen]
     assert [headers["tenant"] for headers in seen] == ["huka270", "huka270", "wimo11"], seen
@@ -75,14 +73,14 @@
     on_platform(context.servers_used, play, config=KEYED)
 
 
-@then("it is told 401 and no organisation, and no endpoint sees the request")
-def told_401(context):
+@then("it gets status 401 without an organisation, and no endpoint sees the request")
+def gets_401(context):
     assert status(context.raw) == 401, context.raw
     assert b"huka270" not in context.raw and b"retry-after" not in context.raw.lower()
     assert not context.servers_used[0].seen
 
 
-@then("it is served without a key, and with one that nobody holds")
+@then("it is served without a key, and with an unknown one")
 def public_route(context):
     servers = web_servers()
 
@@ -96,7 +94,7 @@
 
 
 class KeptConnection:
-    """A caller's connection that stays open from one request to the next."""
+    """A caller's connection that is kept alive between requests."""
 
     async def open(self, address):
         host, port = address.split(":")
@@ -116,26 +114,26 @@
         self._writer.close()
 
 
-@when("a key is taken away while its caller keeps a connection open")
-def taken_away(context):
+@when("a key is revoked while its caller keeps a connection open")
+def revoke_while_connected(context):
     async def play(place):
-        kept = await KeptConnection().open(place.callers)
-        context.before = await kept.ask("r1", KEY)
+        connection = await KeptConnection().open(place.callers)
+        context.before = await connection.ask("r1", KEY)
         place.store.put("config", "main", without_first_key())
-        await anyio.sleep(KNOWN_S)
-        context.after = [await kept.ask("r2", KEY), await kept.ask("r3", SECOND_KEY)]
-        kept.close()
+        await anyio.sleep(APPLIED_WITHIN_S)
+        context.after = [await connection.ask("r2", KEY), await connection.ask("r3", SECOND_KEY)]
+        connection.close()
 
     on_platform(web_servers(), play, config=KEYED)
 
 
-@then("the next request on it is told 401, and the organisation's other key is served")
-def next_is_refused(context):
+@then("the next request on it gets status 401, and the organisation's other key is served")
+def next_is_rejected(context):
     assert (context.before, context.after) == (200, [401, 200])
 
 
-def generation_under_way(servers, when_taken, path="/gen/"):
-    """Take the key away once `when_taken(place)` holds; what the caller gets in the end."""
+def revoke_during_generation(servers, may_revoke, path="/gen/"):
+    """Revoke the key of a generation once `may_revoke(place)` is true; return its answer."""
     got = []
 
     async def play(place):
@@ -145,9 +143,9 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(ask)
-            assert await wait_until(lambda: when_taken(place), limit_s=3)
+            assert await wait_until(lambda: may_revoke(place), limit_s=3)
             place.store.put("config", "main", without_first_key())
-            await anyio.sleep(KNOWN_S)
+            await anyio.sleep(APPLIED_WITHIN_S)
             for server in servers:
                 server.full = False
 
@@ -159,15 +157,15 @@
     return [target for _, target, _, _ in server.seen if target.endswith(name)]
 
 
-@then("one that waits for memory is refused, and reaches no endpoint")
-def waits(context):
+@then("one that waits for memory is rejected, and reaches no endpoint")
+def waits_for_memory(context):
     servers = engines()
     for server in servers:
         server.full = True
     slow = make_route("gen", "/gen/", "streaming", "llm", target_latency_ms=9000, timeout_ms=9000)
     KEYED["routes"].append(slow | {"path_prefix": "/gen/slow/"})
     try:
-        raw = generation_under_way(
+        raw = revoke_during_generation(
             servers, lambda _: calls_to(servers[0], "hold-take"), path="/gen/slow/"
         )
     finally:
@@ -176,45 +174,45 @@
     assert not any(server.ran for server in servers)
 
 
-@then("one whose prompt is being read gets no stream")
-def being_read(context):
+@then("one in its prefill gets no stream")
+def in_prefill(context):
     servers = engines()
     servers[2].read_s = 1.0
-    raw = generation_under_way(
+    raw = revoke_during_generation(
         servers, lambda _: any(seen[2].get("stage") == "prefill" for seen in servers[2].seen)
     )
     assert status(raw) == 401, raw
     assert not any(server.ran for server in servers)
 
 
-@then("a stream that has begun comes to its good end")
-def has_begun(context):
+@then("a stream that has begun is completed")
+def has_started(context):
     servers = engines()
     for server in servers[:2]:
         server.work_s = 1.0
-    raw = generation_under_way(servers, lambda _: any(server.ran for server in servers[:2]))
+    raw = revoke_during_generation(servers, lambda _: any(server.ran for server in servers[:2]))
     assert status(raw) == 200 and raw.endswith(b"0\r\n\r\n"), raw
 
 
-@when("a key was taken away and the store then tells an older version")
+@when("a key is revoked and the store then returns an older configuration")
 def older_version(context):
     async def play(place):
         place.store.put("config", "main", without_first_key())
-        await anyio.sleep(KNOWN_S)
+        await anyio.sleep(APPLIED_WITHIN_S)
         context.statuses = [status(await place.ask("/once/", "r1", {"Key": KEY}))]
         place.store.put("config", "main", KEYED | {"version": 8})
-        await anyio.sleep(KNOWN_S)
+        await anyio.sleep(APPLIED_WITHIN_S)
         context.statuses.append(status(await place.ask("/once/", "r2", {"Key": KEY})))
 
     on_platform(web_servers(), play, config=KEYED)
 
 
-@then("the key is refused on")
-def refused_on(context):
+@then("the key stays rejected")
+def stays_rejected(context):
     assert context.statuses == [401, 401]
 
 
-class LinesKept(logging.Handler):
+class RecordedLines(logging.Handler):
     def __init__(self):
         super().__init__(logging.DEBUG)
         self.lines = []
@@ -223,13 +221,13 @@
         self.lines.append(self.format(record))
 
 
-@when("callers are served, refused and told why, with every log line on")
-def everything_said(context):
-    kept = context.kept = LinesKept()
-    context.said = []
+@when("callers are served and rejected, with all log levels enabled")
+def serve_with_all_logs(context):
+    recorded = context.recorded = RecordedLines()
+    context.outputs = []
     root = logging.getLogger()
     level = root.level
-    root.addHandler(kept)
+    root.addHandler(recorded)
     root.setLevel(logging.DEBUG)
     logging.disable(logging.NOTSET)
 
@@ -237,23 +235,23 @@
         for number, key in enumerate([KEY, OTHER_KEY, UNKNOWN_KEY, f"{KEY} x"]):
             for path in ("/once/", "/gen/", "/none/"):
                 counts = {"Token-Counts": "5000,9000" if number else "odd", "Key": key}
-                context.said.append(await place.ask(path, f"r{number}{path}", counts, b"x"))
+                context.outputs.append(await place.ask(path, f"r{number}{path}", counts, b"x"))
         bad = ORGANISATIONS[1] | {"name": "x", "api_keys": [KEY, "a b", OTHER_KEY]}
         place.store.put("config", "main", KEYED | {"version": 9, "tenants": [*ORGANISATIONS, bad]})
-        await anyio.sleep(KNOWN_S)
-        context.said += [str(node._state.figures.counts).encode() for node in place.nodes]
+        await anyio.sleep(APPLIED_WITHIN_S)
+        context.outputs += [str(node._state.figures.counts).encode() for node in place.nodes]
 
     try:
         on_platform([*web_servers(), *engines()], play, config=KEYED, count=2)
     finally:
         logging.disable(logging.CRITICAL)
         root.setLevel(level)
-        root.removeHandler(kept)
+        root.removeHandler(recorded)
 
 
-@then("no log line, answer, figure or message between nodes holds a key")
-def shows_no_key(context):
-    lines = [line for line in context.kept.lines if "event=" in line]
+@then("no log line, answer, metric or message between nodes contains a key")
+def contains_no_key(context):
+    lines = [line for line in context.recorded.lines if "event=" in line]
     assert len(lines) > 20, len(lines)
-    for said in [*lines, *(raw.decode("latin-1") for raw in context.said)]:
-        assert not any(key in said for key in (*KEYS, UNKNOWN_KEY)), said
+    for text in [*lines, *(raw.decode("latin-1") for raw in context.outputs)]:
+        assert not any(key in text for key in (*KEYS, UNKNOWN_KEY)), text
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on organisations without a node: what is read, decided and remembered of them."""
+"""Scenarios on organisations without a node: configuration, identification and content keys."""
 
 import msgspec
 from behave import then
@@ -19,21 +19,21 @@
     )
 
 
-@then("a key that it doesn't know is refused as not run, and the ones it knows are served")
-def out_of_touch(context):
+@then("an unknown key is rejected as not run, and known keys are served")
+def out_of_date(context):
     known, unknown = read_key([KEY]), read_key([OTHER_KEY])
-    whose = Organisation("huka270")
-    for in_touch, told in ((True, 401), (False, 503)):
-        identities = Identities(lambda told=in_touch: told, {known: whose})
-        assert identities.identify(request_with(known), route()) == whose
+    organisation = Organisation("huka270")
+    for in_touch, expected in ((True, 401), (False, 503)):
+        identities = Identities(lambda result=in_touch: result, {known: organisation})
+        assert identities.identify(request_with(known), route()) == organisation
         refusal = identities.identify(request_with(unknown), route())
-        assert isinstance(refusal, Refuse) and refusal.status == told, refusal
+        assert isinstance(refusal, Refuse) and refusal.status == expected, refusal
         assert refusal.not_run is not in_touch
-        # What can be no key at all is none in any version.
+        # A malformed key is invalid in every configuration.
         assert identities.identify(request_with(None), route()).status == 401
 
 
-@then("all findings of a configuration's organisations are listed, without a key")
+@then("all findings on a configuration's organisations are listed, without a key")
 def bad_organisations(context):
     tenants = [
         {"name": "a", "api_keys": [KEY], "unit": "words", "rate_per_s": -1},
@@ -42,7 +42,7 @@
     ]
     read = read_configuration(msgspec.json.encode(CONFIG | {"tenants": tenants}))
     findings = "\n".join(read.err_value)
-    for told in (
+    for expected in (
         "unit 'words'",
         "rate_per_s: -1",
         "another organisation has this name",
@@ -54,13 +54,13 @@
         "also belongs to 'a'",
         "plain_tokens: -1",
     ):
-        assert told in findings, (told, findings)
+        assert expected in findings, (expected, findings)
     assert KEY not in findings
     wrong_type = msgspec.json.encode(CONFIG | {"tenants": [{"name": "a", "api_keys": KEY}]})
     assert KEY not in "\n".join(read_configuration(wrong_type).err_value)
 
 
-@then("the same body is another content for another organisation, and the same for its second key")
+@then("it is different content for another organisation, and the same content for a second key")
 def contents(context):
     first = request_with(read_key([KEY]), Organisation("a")).content
     assert first == request_with(read_key([OTHER_KEY]), Organisation("a")).content
