--- a/saffronworks/tests/features/starts.feature
+++ b/saffronworks/tests/features/starts.feature
@@ -1,26 +1,26 @@
-Feature: endpoints that start again under their name, and entries of other writers
+Feature: endpoints that restart under their name, and invalid entries in the store
 
-  Scenario: a later start is another endpoint
-    Then it is usable at once where the one before drained, was replaced or went
-    And nothing that was known of the one before is known of it
-    And an earlier start that is heard of late never takes its place
-    And an entry without a time of its start goes by its name
+  Scenario: a restarted endpoint is a new endpoint
+    Then it is usable at once if the earlier start drained, was replaced or was removed
+    And it inherits no state of the earlier start
+    And a late entry of an earlier start never replaces it
+    And an entry without a start time is identified by its name
 
   Scenario: an address belongs to the endpoint that answers there
-    Then two entries may name one address until the endpoint there answers
+    Then two entries may have one address until the endpoint there answers
 
-  Scenario: any series of starts, drains, lapses, stale and bad entries
-    Then the directory never offers a start that is over, and leaves no usable one out
-    And no connection or place of such a start is used for a later one
+  Scenario: any sequence of starts, drains, expiries, stale entries and removals
+    Then the directory never offers an ended start, and offers every usable one
+    And no connection or reservation of an ended start is used for a later one
 
-  Scenario: nodes of an earlier version name endpoints alone
-    Then a planner takes such a name for the latest start, in all that it hears
-    And an entry node does so with a grant
+  Scenario: nodes of an earlier version send names of endpoints without their starts
+    Then a planner resolves such a name to the latest start, in all its messages
+    And an entry node resolves the name in a grant likewise
 
-  Scenario Outline: an entry of another writer names no endpoint
+  Scenario Outline: an invalid entry puts its endpoint out of use
     When the entry of one of three endpoints becomes <bad>
-    Then it is out of use at once, told once with <findings> findings, and the others hold
-    And it is back when its entry is whole again
+    Then it is out of use at once, logged once with <findings> findings, and the others stay in use
+    And it is usable again when its entry is valid
 
     Examples:
       | bad               | findings |
@@ -42,30 +42,30 @@
       | a start ahead     | 1        |
 
   Scenario: thousands of bad entries
-    Then a listing with ten thousand bad entries is taken in half a second and told in few lines
+    Then a listing with ten thousand invalid entries is read in half a second and logged briefly
 
-  Scenario: an object that the store itself garbles
-    Then one unreadable object of a listing or of a watch hides no other
+  Scenario: an object that the store garbles
+    Then a malformed object in a listing or a watch hides no other one
 
-  Scenario: bad entries of nodes
-    Then the census leaves out entries that name no node, and tells each once
+  Scenario: invalid entries of nodes
+    Then the census ignores invalid entries, and logs each once
 
-  Scenario: an endpoint starts again while it serves
-    When an endpoint that went silent starts again under its name
-    Then a plain request in its hands is settled at once, and unknown
-    And one that may be repeated is served by the later start or another endpoint
+  Scenario: an endpoint restarts while it serves requests
+    When an unresponsive endpoint restarts under its name
+    Then a plain request in flight there fails at once, with an unknown outcome
+    And an idempotent one is served by the later start or another endpoint
 
-  Scenario: an engine starts again while a stream runs
-    When an engine stops in the middle of a resumable stream and starts again
-    Then the stream goes on elsewhere at once, each event once
+  Scenario: an engine restarts during a stream
+    When an engine stops in the middle of a resumable stream and restarts
+    Then the stream continues elsewhere at once, with each event once
 
-  Scenario: an engine starts again while it holds memory for a request
-    When an engine starts again between the reservation and the stream
-    Then the caller gets the whole stream, and the later start got no hold of the one before
+  Scenario: an engine restarts while it holds memory for a request
+    When an engine restarts between the reservation and the stream
+    Then the caller gets the whole stream, and the later start no reservation of the earlier one
 
-  Scenario: an endpoint starts again whose address another one had
-    When an endpoint gets its address back by a later start, after the other one answered there
-    Then it serves at once
+  Scenario: an endpoint restarts at an address that another one had
+    When an endpoint restarts at its old address, after another one answered there
+    Then it serves requests at once
 
-  Scenario: an engine starts again while a role order is unanswered
-    Then the order is over, and the later start is judged by what it shows
+  Scenario: an engine restarts while a role order is unanswered
+    Then the order is dropped, and the later start's own role counts
--- a/saffronworks/tests/features/steps/bad_entries_steps.py
+++ b/saffronworks/tests/features/steps/bad_entries_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on entries in the store that come from other writers."""
+"""Scenarios on invalid entries in the store."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 WALL_MS = 1_700_000_000_000
 
 
-def whole(index=0, **changes):
+def valid_entry(index=0, **changes):
     entry = {
         "service": "s",
         "address": f"127.0.0.1:{index + 1}",
@@ -38,33 +38,33 @@
     return json.dumps(entry | changes).encode()
 
 
-def without(*names):
-    entry = json.loads(whole())
+def entry_without(*names):
+    entry = json.loads(valid_entry())
     return json.dumps({key: entry[key] for key in entry if key not in names}).encode()
 
 
-BAD = {
+INVALID_ENTRIES = {
     "no JSON": b"{service: s",
     "no UTF-8": b'{"service":"\xff\xfe"}',
     "a list": b"[1, 2]",
     "null": b"null",
     "empty": b"",
-    "huge": whole(zone="z" * 70_000),
-    "without a service": without("service"),
+    "huge": valid_entry(zone="z" * 70_000),
+    "without a service": entry_without("service"),
     "without most": b'{"service":"s"}',
-    "of other types": json.dumps(dict.fromkeys(json.loads(whole()), [])).encode(),
-    "an odd state": whole(state="warming"),
-    "an odd stage": whole(stage="embed"),
-    "a named address": whole(address="engine-1:80"),
-    "a port too high": whole(address="127.0.0.1:70000"),
-    "no slots": whole(slots=0),
-    "a start as text": whole(born="12"),
-    "a start ahead": whole(born=WALL_MS + 3_600_000),
+    "of other types": json.dumps(dict.fromkeys(json.loads(valid_entry()), [])).encode(),
+    "an odd state": valid_entry(state="warming"),
+    "an odd stage": valid_entry(stage="embed"),
+    "a named address": valid_entry(address="engine-1:80"),
+    "a port too high": valid_entry(address="127.0.0.1:70000"),
+    "no slots": valid_entry(slots=0),
+    "a start as text": valid_entry(born="12"),
+    "a start ahead": valid_entry(born=WALL_MS + 3_600_000),
 }
 
 
 class Sink:
-    """A sink with its directory, and how often a bad entry was counted."""
+    """A server sink with its directory and the counted invalid entries."""
 
     def __init__(self):
         self.directory, self.counted, self.revision = Directory(), [], 0
@@ -93,64 +93,66 @@
 
 
 @when("the entry of one of three endpoints becomes {bad}")
-def becomes_bad(context, bad):
+def becomes_invalid(context, bad):
     context.sink = sink = Sink()
-    sink.list({f"e{index}": whole(index) for index in range(3)})
+    sink.list({f"e{index}": valid_entry(index) for index in range(3)})
     assert sink.usable() == {"e0", "e1", "e2"}
     with LogLines(servers.__name__) as context.lines:
-        item = sink.change("e0", BAD[bad])
+        item = sink.change("e0", INVALID_ENTRIES[bad])
         sink.repeat(item)
-    context.bad = BAD[bad]
+    context.bad_content = INVALID_ENTRIES[bad]
 
 
-@then("it is out of use at once, told once with {count} findings, and the others hold")
+@then("it is out of use at once, logged once with {count} findings, and the others stay in use")
 def out_of_use(context, count):
     assert context.sink.usable() == {"e1", "e2"}
-    told = [line for line in context.lines if "event=endpoint_unreadable" in line]
-    assert len(told) == 1 and f"findings={count} " in told[0], told
+    logged = [line for line in context.lines if "event=endpoint_unreadable" in line]
+    assert len(logged) == 1 and f"findings={count} " in logged[0], logged
     assert context.sink.counted == [SERVER_KIND] * 2
-    whole_listing = {"e0": context.bad, "e1": whole(1), "e2": whole(2)}
-    context.sink.list(whole_listing)
-    assert context.sink.usable() == {"e1", "e2"}, "a listing lets it lapse, though it is there"
+    listing = {"e0": context.bad_content, "e1": valid_entry(1), "e2": valid_entry(2)}
+    context.sink.list(listing)
+    assert context.sink.usable() == {"e1", "e2"}, "an invalid entry gets no grace period"
 
 
-@then("it is back when its entry is whole again")
-def back(context):
-    context.sink.change("e0", whole())
+@then("it is usable again when its entry is valid")
+def usable_again(context):
+    context.sink.change("e0", valid_entry())
     assert context.sink.usable() == {"e0", "e1", "e2"}
 
 
-@then("a listing with ten thousand bad entries is taken in half a second and told in few lines")
+@then("a listing with ten thousand invalid entries is read in half a second and logged briefly")
 def thousands(context):
     sink = Sink()
-    kinds = [content for content in BAD.values() if len(content) < 1000]
-    bad = {f"x{index}": kinds[index % len(kinds)] for index in range(10_000)}
+    kinds = [content for content in INVALID_ENTRIES.values() if len(content) < 1000]
+    invalid = {f"x{index}": kinds[index % len(kinds)] for index in range(10_000)}
     with LogLines(servers.__name__) as lines:
         began_s = time.process_time()
-        sink.list(bad | {"e0": whole()})
-        took_s = time.process_time() - began_s
+        sink.list(invalid | {"e0": valid_entry()})
+        elapsed_s = time.process_time() - began_s
     assert sink.usable() == {"e0"} and len(sink.counted) == 10_000
-    assert took_s < 0.5, took_s
+    assert elapsed_s < 0.5, elapsed_s
     assert len(lines) <= servers.MAX_LOGGED_ENTRIES + 2, len(lines)
     assert any("event=endpoints_unreadable not_logged=9950" in line for line in lines), lines[-2:]
 
 
-GARBLED = [b"null", b"5", b'{"metadata":5}', b'{"metadata":{"name":"x"},"spec":"\xff"}']
+MALFORMED_OBJECTS = [b"null", b"5", b'{"metadata":5}', b'{"metadata":{"name":"x"},"spec":"\xff"}']
 
 
 class GarblingStore(FakeStore):
-    """Answers with objects that can't be read beside a good one."""
+    """A store whose answers hold malformed objects and a valid one."""
 
     async def _handle(self, call):
-        good = b'{"metadata":{"name":"e0","revision":1},"spec":{}}'
+        valid = b'{"metadata":{"name":"e0","revision":1},"spec":{}}'
         if "watch" in call.query:
-            items = b",".join(b'{"object":%s,"removed":false}' % item for item in (*GARBLED, good))
+            items = b",".join(
+                b'{"object":%s,"removed":false}' % item for item in (*MALFORMED_OBJECTS, valid)
+            )
             return await call.reply_bytes(200, b'{"events":[%s],"current_rev":5}' % items, "x/y")
-        body = b'{"items":[%s],"current_rev":5}' % b",".join((*GARBLED, good))
+        body = b'{"items":[%s],"current_rev":5}' % b",".join((*MALFORMED_OBJECTS, valid))
         return await call.reply_bytes(200, body, "x/y")
 
 
-@then("one unreadable object of a listing or of a watch hides no other")
+@then("a malformed object in a listing or a watch hides no other one")
 def garbled(context):
     async def main():
         fake = GarblingStore()
@@ -161,23 +163,23 @@
             changes = (await store.watch("servers", at(1), 100)).unwrap()
             await store.close()
             tasks.cancel_scope.cancel()
-        for heard in (listing, changes):
-            assert heard.objects[-1].name == "e0" and heard.revision.number == 5, heard
-            assert [item.name for item in heard.objects] == ["x", "e0"], heard
+        for received in (listing, changes):
+            assert received.objects[-1].name == "e0" and received.revision.number == 5, received
+            assert [item.name for item in received.objects] == ["x", "e0"], received
 
     anyio.run(main)
 
 
-@then("the census leaves out entries that name no node, and tells each once")
+@then("the census ignores invalid entries, and logs each once")
 def census(context):
-    good = {"address": "10.0.0.1:1", "cores": 2.0}
+    valid = {"address": "10.0.0.1:1", "cores": 2.0}
     contents = [
-        msgspec.json.encode(good),
+        msgspec.json.encode(valid),
         b"null",
         b'{"cores":1}',
-        msgspec.json.encode(good | {"address": "front-1:80"}),
-        msgspec.json.encode(good | {"address": "10.0.0.9:1", "cores": -1}),
-        msgspec.json.encode(good | {"address": "10.0.0.9:1", "cores": 1e9}),
+        msgspec.json.encode(valid | {"address": "front-1:80"}),
+        msgspec.json.encode(valid | {"address": "10.0.0.9:1", "cores": -1}),
+        msgspec.json.encode(valid | {"address": "10.0.0.9:1", "cores": 1e9}),
         b'{"address":"\xff"}',
     ]
     objects = [StoredObject(f"n{index}", at(7), raw) for index, raw in enumerate(contents)]
@@ -204,5 +206,5 @@
     with LogLines("saffronworks.forwarding.census") as lines:
         anyio.run(main)
     assert counted == [{"10.0.0.1:1": CountedNode(2.0)}], counted
-    told = [line for line in lines if "census_entry_unreadable" in line]
-    assert len(told) == len(contents) - 1, told
+    logged = [line for line in lines if "census_entry_unreadable" in line]
+    assert len(logged) == len(contents) - 1, logged
--- a/saffronworks/tests/features/steps/restarts_steps.py
+++ b/saffronworks/tests/features/steps/restarts_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on endpoints that start again under their name while a node has work there."""
+"""Scenarios on endpoints that restart under their name while they serve requests."""
 
 import time
 
@@ -8,10 +8,10 @@
 from saffronworks.standins.sites import wait_until
 from saffronworks.tests.platform_place import engines, on_platform, web_servers
 
-# From the entry in the store to the end of what the earlier start had in hand.
-SETTLED_S = 0.3
-# A change of the store is known by then; several are taken together after a quarter of a second.
-HEARD_LIMIT_S = 2.0
+# Time from the new entry in the store to the end of the requests at the earlier start.
+FAILED_WITHIN_S = 0.3
+# Time within which a node knows a change of the store, which it batches for a quarter of a second.
+KNOWN_WITHIN_S = 2.0
 
 
 async def restart(place, server):
@@ -19,8 +19,8 @@
     place.store.put("servers", server.instance, server.entry())
 
 
-async def ask_across(place, ask, server):
-    """The answer to a request that is under way when a server starts again, and after how long."""
+async def restart_during(place, ask, server):
+    """Restart a server during a request; return the answer and the seconds until it came."""
     answers = []
 
     async def keep():
@@ -35,35 +35,35 @@
     return answers[0], time.monotonic() - began_s
 
 
-@when("an endpoint that went silent starts again under its name")
+@when("an unresponsive endpoint restarts under its name")
 def silent_restarts(context):
     server = web_servers()[0]
 
     async def play(place):
         for name, path in (("once", "/once/"), ("again", "/again/")):
             server.work_s = 5.0
-            answer = await ask_across(place, place.ask(path, name), server)
+            answer = await restart_during(place, place.ask(path, name), server)
             setattr(context, name, answer)
         context.ran = list(server.ran)
 
     on_platform([server], play)
 
 
-@then("a plain request in its hands is settled at once, and unknown")
-def settled(context):
-    raw, took_s = context.once
+@then("a plain request in flight there fails at once, with an unknown outcome")
+def fails_at_once(context):
+    raw, elapsed_s = context.once
     assert raw.startswith(b"HTTP/1.1 502") and b"retry-after" not in raw.lower(), raw
-    assert took_s < SETTLED_S, took_s
+    assert elapsed_s < FAILED_WITHIN_S, elapsed_s
 
 
-@then("one that may be repeated is served by the later start or another endpoint")
+@then("an idempotent one is served by the later start or another endpoint")
 def served_again(context):
-    raw, took_s = context.again
+    raw, elapsed_s = context.again
     assert raw.startswith(b"HTTP/1.1 200") and context.ran == ["again"], (raw, context.ran)
-    assert took_s < SETTLED_S, took_s
+    assert elapsed_s < FAILED_WITHIN_S, elapsed_s
 
 
-@when("an engine stops in the middle of a resumable stream and starts again")
+@when("an engine stops in the middle of a resumable stream and restarts")
 def stream_restarts(context):
     servers = engines()
 
@@ -75,13 +75,15 @@
         async def find_first():
             return await ask
 
-        context.answer = await ask_across(place, find_first(), _Running(servers[:2], first))
+        context.answer = await restart_during(
+            place, find_first(), _RunningServer(servers[:2], first)
+        )
 
     on_platform(servers, play)
 
 
-class _Running:
-    """Whichever of some servers runs the stream."""
+class _RunningServer:
+    """Stands for the one of several servers that runs the stream."""
 
     def __init__(self, servers, first):
         self._servers, self._first = servers, first
@@ -104,15 +106,15 @@
         return self._restarted.entry()
 
 
-@then("the stream goes on elsewhere at once, each event once")
-def goes_on(context):
-    raw, took_s = context.answer
+@then("the stream continues elsewhere at once, with each event once")
+def continues(context):
+    raw, elapsed_s = context.answer
     ids = [raw.find(b"\nid: %d" % number) for number in (1, 2, 3)]
     assert -1 not in ids and ids == sorted(ids) and raw.count(b"data: ") == 3, raw
-    assert raw.endswith(b"0\r\n\r\n") and took_s < SETTLED_S, (raw, took_s)
+    assert raw.endswith(b"0\r\n\r\n") and elapsed_s < FAILED_WITHIN_S, (raw, elapsed_s)
 
 
-@when("an engine starts again between the reservation and the stream")
+@when("an engine restarts between the reservation and the stream")
 def hold_restarts(context):
     decoders = engines()[:2]
     reader = engines()[2]
@@ -120,12 +122,12 @@
     context.decoder = decoders[0]
 
     async def play(place):
-        context.answer = await ask_across(place, place.generate("/gen/", "g1"), decoders[0])
+        context.answer = await restart_during(place, place.generate("/gen/", "g1"), decoders[0])
 
     on_platform([decoders[0], reader], play)
 
 
-@then("the caller gets the whole stream, and the later start got no hold of the one before")
+@then("the caller gets the whole stream, and the later start no reservation of the earlier one")
 def no_old_hold(context):
     raw, _ = context.answer
     assert raw.count(b"data: ") == 3 and raw.endswith(b"0\r\n\r\n"), raw
@@ -138,7 +140,7 @@
     return known is not None and known.born_ms == server.starts
 
 
-@when("an endpoint gets its address back by a later start, after the other one answered there")
+@when("an endpoint restarts at its old address, after another one answered there")
 def address_back(context):
     server = web_servers()[0]
 
@@ -150,14 +152,14 @@
         context.asked = len(server.seen)
         server.instance = "w0"
         await restart(place, server)
-        assert await wait_until(lambda: knows_start(place, server), HEARD_LIMIT_S)
+        assert await wait_until(lambda: knows_start(place, server), KNOWN_WITHIN_S)
         context.served = await place.ask("/once/", "r3")
         context.ran = list(server.ran)
 
     on_platform([server], play)
 
 
-@then("it serves at once")
+@then("it serves requests at once")
 def serves_at_once(context):
     assert context.lost.startswith(b"HTTP/1.1 503"), context.lost
     assert context.still_lost.startswith(b"HTTP/1.1 503") and context.asked == 1, context.asked
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -1,9 +1,9 @@
-"""Scenarios on starts of endpoints under one name, as the deciding parts see them."""
+"""Scenarios on restarts of endpoints under one name, on the directory, planner and role core."""
 
 import attrs
 from behave import then
 from hypothesis import given as forall
-from hypothesis import settings as limits
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from saffronworks.bundles import Role
@@ -34,19 +34,19 @@
     return {endpoint.instance for endpoint in directory.usable("s", now_ms)}
 
 
-def knows(*endpoints):
+def directory_with(*endpoints):
     directory = Directory()
     directory.replace(list(endpoints), at(1), now_ms=0)
     return directory
 
 
-@then("it is usable at once where the one before drained, was replaced or went")
+@then("it is usable at once if the earlier start drained, was replaced or was removed")
 def usable_at_once(context):
     later = start(born_ms=9)
-    drained = knows(start(born_ms=5, draining=True))
-    replaced = knows(start(born_ms=5))
+    drained = directory_with(start(born_ms=5, draining=True))
+    replaced = directory_with(start(born_ms=5))
     replaced.note_replaced("e0@5")
-    gone = knows(start(born_ms=5))
+    gone = directory_with(start(born_ms=5))
     gone.remove("e0", now_ms=10)
     for directory in (drained, replaced, gone):
         assert usable(directory) == set()
@@ -55,8 +55,8 @@
         assert directory.take_ended() == ["e0@5"] and not directory.take_ended()
 
 
-@then("nothing that was known of the one before is known of it")
-def nothing_known(context):
+@then("it inherits no state of the earlier start")
+def inherits_no_state(context):
     before, later = start_id("e0", 5), start_id("e0", 9)
     loads, plan = LoadTable("z"), PlanState(0, 90_000, 8)
     loads.of(before).fail(0, unreachable=True)
@@ -72,10 +72,10 @@
     assert set(plan.reading.pace._of_reader) == {before}
 
 
-@then("an earlier start that is heard of late never takes its place")
-def never_back(context):
+@then("a late entry of an earlier start never replaces it")
+def never_replaced(context):
     early, late = start(born_ms=5), start(born_ms=9)
-    directory = knows(early)
+    directory = directory_with(early)
     directory.put(late)
     assert directory.put(early) is Heard.OVER
     directory.replace([early], at(2), now_ms=10)
@@ -85,23 +85,23 @@
     assert directory.put(late) is Heard.CHANGED and usable(directory) == {"e0@9"}
 
 
-@then("an entry without a time of its start goes by its name")
-def by_name(context):
+@then("an entry without a start time is identified by its name")
+def identified_by_name(context):
     plain, timed = start(), start(born_ms=5)
-    directory = knows(plain)
+    directory = directory_with(plain)
     assert usable(directory) == {"e0"}
     assert directory.put(timed) is Heard.RESTARTED
     assert directory.put(attrs.evolve(plain, draining=True)) is Heard.CHANGED
     assert directory.named("e0").instance == "e0@5" and not usable(directory)
-    lost = knows(plain)
-    lost.note_replaced("e0")
-    assert lost.put(plain) is Heard.OVER
-    assert lost.put(start(address="127.0.0.1:2")) is Heard.CHANGED
+    replaced = directory_with(plain)
+    replaced.note_replaced("e0")
+    assert replaced.put(plain) is Heard.OVER
+    assert replaced.put(start(address="127.0.0.1:2")) is Heard.CHANGED
 
 
-@then("two entries may name one address until the endpoint there answers")
+@then("two entries may have one address until the endpoint there answers")
 def one_address(context):
-    directory = knows(start("e0", 5), start("e1", 9), start("e2"))
+    directory = directory_with(start("e0", 5), start("e1", 9), start("e2"))
     assert usable(directory) == {"e0@5", "e1@9", "e2"}
     directory.note_replaced(StartId("e1@9"))
     assert directory.put(start("e1", 9)) is Heard.OVER
@@ -130,21 +130,21 @@
 
 
 class Model:
-    """What callers rely on, kept plainly: the latest time of a start heard under each name."""
+    """A reference model: the latest start time received under each name."""
 
     def __init__(self):
         self.latest = {}
-        self.lost = {}
+        self.replaced_at = {}
 
-    def hear(self, endpoint):
+    def receive(self, endpoint):
         if is_later(endpoint.born_ms, self.latest.get(endpoint.name)):
             self.latest[endpoint.name] = endpoint.born_ms
 
 
-def play(directory, model, event, now_ms):
+def apply_event(directory, model, event, now_ms):
     match event:
         case "put", endpoint:
-            model.hear(endpoint)
+            model.receive(endpoint)
             directory.put(endpoint)
         case "gone", name:
             directory.remove(name, now_ms)
@@ -153,16 +153,16 @@
         case "replaced", name:
             known = directory.named(name)
             if known is not None:
-                model.lost[name] = known.address
+                model.replaced_at[name] = known.address
                 directory.note_replaced(known.instance)
         case "list", listed:
             for endpoint in listed:
-                model.hear(endpoint)
+                model.receive(endpoint)
             directory.replace(listed, at(1), now_ms)
 
 
 class Connection:
-    """What the pool needs of a connection."""
+    """The part of a connection that the pool uses."""
 
     finished = True
     idle_since_ms = 0.0
@@ -178,8 +178,8 @@
         self.cause = cause
 
 
-class Work:
-    """A planner, loads and connections that work goes on with beside the directory."""
+class ClientState:
+    """A planner, loads and connections that are used along with the directory."""
 
     def __init__(self, directory):
         self.directory = directory
@@ -190,7 +190,7 @@
         self.busy, self.now_ms, self.asked, self.granted = {}, 0, 0, 0
 
     def act(self, now_ms):
-        """Use each usable start once, ask for a place, and hear of what has ended."""
+        """Process ended starts, use each usable start once, and ask for a reservation."""
         self.now_ms = now_ms
         ended = self.directory.take_ended()
         for instance in ended:
@@ -231,36 +231,36 @@
         self.answers.clear()
 
 
-@then("the directory never offers a start that is over, and leaves no usable one out")
-@then("no connection or place of such a start is used for a later one")
-def any_series(context):
-    works = []
+@then("the directory never offers an ended start, and offers every usable one")
+@then("no connection or reservation of an ended start is used for a later one")
+def any_sequence(context):
+    client_states = []
 
-    @limits(max_examples=300)
+    @hypothesis_settings(max_examples=300)
     @forall(st.lists(EVENTS, max_size=30))
     def check(events):
         directory, model, now_ms = Directory(), Model(), 0
-        work = Work(directory)
-        works.append(work)
+        client_state = ClientState(directory)
+        client_states.append(client_state)
         for event in events:
             now_ms += event[1] if event[0] == "wait" else 100
-            play(directory, model, event, now_ms)
+            apply_event(directory, model, event, now_ms)
             offered = directory.usable("s", now_ms)
             names = [endpoint.name for endpoint in offered]
             assert len(set(names)) == len(names), offered
             for endpoint in offered:
                 assert not is_later(model.latest.get(endpoint.name), endpoint.born_ms), event
-            work.act(now_ms)
+            client_state.act(now_ms)
             if event[0] == "put":
-                check_heard(directory, model, event[1], now_ms)
+                check_latest_used(directory, model, event[1], now_ms)
 
     check()
-    granted = sum(work.granted for work in works)
-    assert granted > len(works) // 2, f"{granted} grants in {len(works)} series"
+    granted = sum(client_state.granted for client_state in client_states)
+    assert granted > len(client_states) // 2, f"{granted} grants in {len(client_states)} series"
 
 
-def check_heard(directory, model, endpoint, now_ms):
-    """The start that was heard of last is used, unless it is over for a reason."""
+def check_latest_used(directory, model, endpoint, now_ms):
+    """Check that the start received last is used, unless it has ended for a known reason."""
     if endpoint.draining or endpoint.born_ms != model.latest.get(endpoint.name):
         return
     known = directory.named(endpoint.name)
@@ -268,8 +268,8 @@
         assert known.address == endpoint.address
         assert known.instance in usable(directory, now_ms)
         return
-    # Only because another endpoint answered at its address.
-    assert model.lost.get(endpoint.name) == endpoint.address, endpoint
+    # The only valid reason: another endpoint answered at its address.
+    assert model.replaced_at.get(endpoint.name) == endpoint.address, endpoint
 
 
 def planner_of(directory):
@@ -278,9 +278,9 @@
     return planner, planner.plans["s"]
 
 
-@then("a planner takes such a name for the latest start, in all that it hears")
+@then("a planner resolves such a name to the latest start, in all its messages")
 def resolves_names(context):
-    directory = knows(start(born_ms=5, role=Role.DECODE))
+    directory = directory_with(start(born_ms=5, role=Role.DECODE))
     planner, plan = planner_of(directory)
     kernel = Kernel("n", lambda: 2000)
     live = messages.LiveRun("r1", StartId("e0"), 5000, 600, 900, 100)
@@ -293,17 +293,17 @@
     assert plan.runs["r3"].instance == "e0@4", "a run of an earlier start is none of this one"
 
 
-@then("an entry node does so with a grant")
+@then("an entry node resolves the name in a grant likewise")
 def resolves_grant(context):
-    directory = knows(start(born_ms=5))
+    directory = directory_with(start(born_ms=5))
     assert directory.resolve(StartId("e0")) == "e0@5"
     assert directory.resolve(StartId("e0@5")) == "e0@5"
     assert directory.resolve(StartId("e0@4")) == "e0@4"
     assert directory.resolve(StartId("e9")) == "e9"
 
 
-@then("the order is over, and the later start is judged by what it shows")
-def order_over(context):
+@then("the order is dropped, and the later start's own role counts")
+def order_dropped(context):
     state = RoleState("n", 3000, 300)
     before = start("e0", 5, role=Role.PREFILL)
     state.orders[before.instance] = OpenOrder(Role.DECODE, ordered_ms=0)
