--- a/saffronworks/tests/platform_fakes.py
+++ b/saffronworks/tests/platform_fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the users' platform: its servers, with faults, its callers and settings."""
+"""Fakes of the users' platform: servers with scripted faults, callers and settings files."""
 
 import asyncio
 import contextlib
@@ -11,8 +11,8 @@
 
 __all__ = ["BOUNDS", "FakeServer", "fetch", "settings_text"]
 
-# What a run of an engine may do wrong, beside `break-N`: break off inside event N, and `stall-N`:
-# say nothing more from event N on.
+# Faults of a stream, besides `break-N`, which breaks it inside event N, and `stall-N`, which sends
+# nothing from event N on.
 STREAM_FAULTS = (
     None,
     "error",
@@ -41,12 +41,12 @@
     "quota_overage": 0.1,
     "quota_slack": 12,
 }
-# Within this every answer is over and its connection closed.
+# Every answer must end and its connection be closed within this time.
 READ_LIMIT_S = 5.0
 
 
 class FakeServer:
-    """A server of the platform over raw sockets; `script` gives the fault of each next request."""
+    """A server of the platform on raw sockets; `script` lists the faults of the next requests."""
 
     def __init__(self, instance, service, stage=None):
         self.instance = instance
@@ -63,12 +63,13 @@
         self.read_s = 0.0
         self.events = 3
         self.full = False
-        # The requests a second that it names in its answers, and when calls of any kind reached it.
+        # The rate limit that answers advertise, in requests per second.
         self.limit = None
-        # Whether it says in all answers that it drains; the pause that it asks for with a 503 to
-        # each request, as the text of the field.
+        # Whether all answers state that the server drains.
         self.drains = False
+        # The text of Retry-After in a 503 to each request; None to serve requests.
         self.pause = None
+        # Arrival times of calls of any kind.
         self.arrived_s = []
         self.starts = 1
         self._late = []
@@ -85,7 +86,7 @@
         return entry | ({"stage": self.stage} if self.stage else {})
 
     def restart(self):
-        """Start again under the same name and address; what it had in hand stays silent."""
+        """Restart under the same name and address; requests in flight are never answered."""
         self.starts += 1
         self.seen, self.ran, self.script = [], [], []
         self.work_s = self.read_s = 0.0
@@ -125,7 +126,7 @@
         return await self._request(reader, writer, headers)
 
     async def _reject(self, writer, own):
-        """Turn a request away, and ask for a pause if it wants one."""
+        """Reject a request, with a Retry-After if `pause` is set."""
         pause = {} if self.pause is None else {"Retry-After": self.pause}
         return await self._reply(writer, 503, {"Not-Executed": "1"} | own | pause, b"")
 
@@ -247,7 +248,7 @@
         return await self._stream_events(writer, fault, after, breaks_at)
 
     async def _stream_events(self, writer, fault, after, breaks_at):
-        """Event after event in chunks, up to the one at which the stream breaks or stalls."""
+        """Send events in chunks, up to the one at which the stream breaks or stalls."""
         for number in range(after + 1, self.events + 2):
             data = f"id: {number}\ndata: {self.instance}\n\n".encode()
             if number == breaks_at and fault.startswith("stall-"):
@@ -266,7 +267,7 @@
         return True
 
     async def _stream_sized(self, writer, own, fault, after):
-        """With a length: one breaks after event 1, the events of the other are twice as long."""
+        """Send a stream with a length: broken after event 1, or with events of twice the size."""
         lines = [f"id: {number}\ndata: " for number in range(after + 1, self.events + 1)]
         width = 64 if fault == "sized-wide" else 32
         events = [(line + "x" * (width - 2 - len(line)) + "\n\n").encode() for line in lines]
@@ -295,16 +296,17 @@
 
     def _reset(self, writer):
         raw = writer.get_extra_info("socket")
-        # A connection that the other side has just reset is closed already.
+        # A connection that the peer has just reset is already closed.
         with contextlib.suppress(OSError):
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         writer.transport.abort()
 
 
 async def fetch(address, method, target, headers, body=b"", leaves_after_s=None):
-    """Send one request on a connection of its own; returns the raw bytes until it is closed.
+    """Send one request on a new connection; returns the raw bytes until it is closed.
 
-    A connection that stays open is a failure, unless the caller is one who leaves.
+    With `leaves_after_s` the caller disconnects after that time; otherwise a connection that stays
+    open is a failure.
     """
     host, port = address.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -326,7 +328,7 @@
 
 
 def settings_text(store_address, **changes):
-    """A settings file of the platform; `changes` replaces whole top-level fields."""
+    """Return a settings file of the platform; `changes` replaces top-level fields."""
     callers, probes = free_address(), free_address()
     fields = {
         "node_name": "front-z1-1",
