--- a/saffronworks/tests/platform_place.py
+++ b/saffronworks/tests/platform_place.py
@@ -1,4 +1,4 @@
-"""A store, servers and nodes over loopback, for scenarios on the whole path."""
+"""A store, servers and nodes over loopback, for scenarios on whole nodes."""
 
 import time
 from pathlib import Path
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Asked:
-    """One request of a caller: through which node, when (on the steady clock), its raw answer."""
+    """One request of a caller: its node, its times on the monotonic clock and its raw answer."""
 
     request_id: str
     node: int
@@ -89,7 +89,7 @@
         return await self.ask(path, request_id, counts, body, **options)
 
     async def ask_evenly(self, per_s, for_s, ask_one):
-        """Ask at all nodes in turn at this rate, by `ask_one(request_id, node=...)`."""
+        """Send requests to all nodes in turn at this rate, by `ask_one(request_id, node=...)`."""
         asked = []
 
         async def ask(number):
@@ -129,9 +129,9 @@
 
 
 def on_platform(servers, play, config=CONFIG, count=1, **changes):
-    """Start everything, with so many nodes, let `play(place)` act, end everything.
+    """Start a store, the servers and `count` nodes, run `play(place)`, and stop them.
 
-    `changes` replaces whole fields of the nodes' settings.
+    `changes` replaces top-level fields of the nodes' settings.
     """
 
     async def main():
