--- a/saffronworks/tests/log_lines.py
+++ b/saffronworks/tests/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines for scenarios on what is told; the test run keeps logs quiet otherwise."""
+"""Captures log lines for scenarios; logging is otherwise disabled during the tests."""
 
 import logging
 
@@ -6,7 +6,7 @@
 
 
 class LogLines(logging.Handler):
-    """The lines of a logger from `level` on, as texts, while it is open."""
+    """A context manager that collects the lines of a logger from `level` on."""
 
     def __init__(self, name, level=logging.INFO):
         super().__init__(level)
