--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -1,4 +1,4 @@
-"""Admission at the owner of a cell: asks are queued or refused, and granted a prefill."""
+"""Admission control of a cell: queues or refuses attempts, and grants prefills."""
 
 from saffronworks.bundles import Role
 from saffronworks.messages import (
@@ -33,7 +33,10 @@
 
 
 def take_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
-    """Queue an attempt, or refuse it at once; a repeated ask is answered again."""
+    """Queues an attempt, or refuses it at once.
+
+    A repeated ask of a granted attempt gets its grant again, since the first may be lost.
+    """
     request_id = ask.key.request_id
     if ask.key.attempt <= state.ended.get(request_id, (0, 0))[0]:
         return []
@@ -64,7 +67,7 @@
 
 
 def predict_wait(state: CellState, item: Waiting, now_ms: int) -> float:
-    """Predicted time to the first token of a new attempt, behind those that go before it."""
+    """Predicts the time to first token of a new attempt, including its time in the queue."""
     ahead = state.queue.ahead_of(item.ask)
     ledgers = state.ledgers.values()
     decoders = open_decoders(state, now_ms)
@@ -82,7 +85,7 @@
 
 
 def _work_ms(state: CellState, ask: Ask, now_ms: int) -> float:
-    """Predicted prefill and transfer time of an attempt at the quickest open endpoint."""
+    """Predicts the prefill plus transfer time of an attempt at the fastest open endpoint."""
     best = 0.0
     for ledger in state.ledgers.values():
         if ledger.role is Role.PREFILL and ledger.open(now_ms):
@@ -93,13 +96,13 @@
 
 
 def refuse(state: CellState, ask: Ask, reason: str, retry_after_ms: int) -> Command:
-    """Tell an entry that its attempt was given up before a prefill."""
+    """Returns the refusal of an attempt that has not started its prefill."""
     state.refused += 1
     return Tell(ask.node, Refusal(ask.key, reason, retry_after_ms))
 
 
 def grant_waiting(state: CellState, now_ms: int) -> list[Command]:
-    """Grant prefills to waiting attempts while one can start and find a slot."""
+    """Grants prefills in queue order while a prefill can start and a decode slot is expected."""
     commands: list[Command] = []
     if now_ms < state.grants_from_ms:
         return commands
@@ -116,9 +119,10 @@
 
 
 def _admit(state: CellState, item: Waiting, now_ms: int) -> PrefillChoice | None:
-    """A prefill endpoint, when a decode slot is predicted free by the end of the transfer.
+    """Chooses a prefill endpoint, or None unless a decode slot is predicted to be free.
 
-    How sure that must be follows the model's weight between goodput and wasted prefill.
+    The slot may become free after the transfer, while the KV result waits. A higher goodput
+    weight of the model allows a longer wait, at the risk of a wasted prefill.
     """
     ask = item.ask
     pool = state.cell.pool
