--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -1,7 +1,8 @@
-"""The owner of a cell: a pure core that queues, grants, assigns, and reclaims.
+"""The scheduler of a cell: queues attempts, grants prefills, assigns decodes, reclaims slots.
 
-`step(state, event, now_ms)` takes the messages of entry nodes and what endpoints report, and
-returns typed commands. The state is soft: a new owner rebuilds it from what entries hold.
+`step(state, event, now_ms)` does no I/O: it applies a message of an entry node or a report of
+an endpoint to the state, and returns the commands to run. The state is not stored: a new owner
+rebuilds it from the lists of held attempts that the entry nodes send.
 """
 
 from saffronworks.messages import (
@@ -44,7 +45,7 @@
 
 
 def step(state: CellState, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event."""
+    """Applies one event to `state` and returns the commands to run, in order."""
     match event:
         case Ask():
             commands = take_ask(state, event, now_ms)
