--- a/saffronworks/owner/queues.py
+++ b/saffronworks/owner/queues.py
@@ -1,7 +1,8 @@
-"""The bounded wait queue of a cell: priority, retries, who can still be in time, fairness.
+"""The bounded wait queue of a cell, ordered by priority, retries, deadline and fairness.
 
-A retry goes first, since work was spent on it, as long as the retry budget lasts; after that
-it waits its turn like the others. Grants follow free slots, so retries never add load.
+Within the retry budget a retry goes first among its priority, since work was already spent on
+it; beyond the budget it is ordered like a first attempt. Grants are bounded by free slots, so
+retries never add load.
 """
 
 import math
@@ -20,9 +21,11 @@
 
 @attrs.define
 class Waiting:
-    """One queued attempt. `arrived_ms` is on the owner's clock, less what it waited before;
-    `work_ms` is the predicted time from its grant to its first token; `first` marks a retry
-    that the budget lets go before the others.
+    """One queued attempt.
+
+    `arrived_ms` is the time of arrival at the entry node, on the owner's clock. `work_ms` is
+    the predicted time from the grant to the first token. `first` marks a retry within the retry
+    budget, which goes before other attempts of its priority.
     """
 
     ask: Ask
@@ -32,17 +35,20 @@
     first: bool = False
 
     def slack_ms(self, now_ms: int) -> float:
-        """Time to spare before the first token would miss its target."""
+        """Returns how long the grant can still wait before the first token misses its target."""
         return self.arrived_ms + self.model.ttft_ms - now_ms - self.work_ms
 
     def patience_left_ms(self, now_ms: int) -> int:
-        """Time until the caller is told *not run*."""
+        """Returns the time until the attempt is refused as *not run*."""
         return self.arrived_ms + self.model.patience_ms - now_ms
 
 
 @attrs.define
 class WaitQueue:
-    """Waiting attempts by request id, and the recent service of each organisation."""
+    """Waiting attempts by request id, and the recent service of each organisation.
+
+    `since_late` counts the grants since the last one to a late attempt.
+    """
 
     policy: Policy = attrs.Factory(Policy)
     items: dict[str, Waiting] = attrs.Factory(dict)
@@ -50,11 +56,15 @@
     since_late: int = 0
 
     def full(self) -> bool:
-        """Whether the bound is reached."""
+        """Returns True when the queue has reached its maximum length."""
         return len(self.items) >= QUEUE_LENGTH
 
     def select(self, now_ms: int) -> Waiting | None:
-        """The attempt to serve next; now and then a late one has its turn."""
+        """Returns the attempt to serve next, or None when the queue is empty.
+
+        Late attempts rank behind others, so every `late_every_grants`th grant may go to the oldest
+        late attempt of the highest priority; otherwise late attempts could starve.
+        """
         if not self.items:
             return None
         if self.since_late >= self.policy.late_every_grants:
@@ -65,12 +75,12 @@
         return min(self.items.values(), key=lambda waiting: self._rank(waiting, now_ms, fair))
 
     def late(self, waiting: Waiting, now_ms: int) -> bool:
-        """Whether the attempt can no longer meet its target to the first token."""
+        """Returns True when too little slack is left to meet the time-to-first-token target."""
         margin_ms = self.policy.slack_margin_share * waiting.model.ttft_ms
         return waiting.slack_ms(now_ms) < margin_ms
 
     def take(self, waiting: Waiting, cost: float, now_ms: int) -> None:
-        """Remove a served attempt and charge its organisation."""
+        """Removes a granted attempt and charges `cost` to its organisation."""
         del self.items[waiting.ask.key.request_id]
         self.since_late += 1
         if self.late(waiting, now_ms):
@@ -78,15 +88,15 @@
         self.recent.add(waiting.ask.organisation, cost, now_ms)
 
     def ahead_of(self, ask: Ask) -> int:
-        """How many waiting attempts go before a new one of that priority."""
+        """Counts the waiting attempts of the same or a higher priority than `ask`."""
         return sum(1 for w in self.items.values() if w.ask.priority >= ask.priority)
 
     def prune(self, now_ms: int) -> None:
-        """Forget organisations whose recent service has faded."""
+        """Drops organisations whose recent service has decayed."""
         self.recent.prune(now_ms)
 
     def _fair_service(self, now_ms: int) -> float:
-        """The recent service beyond which an organisation goes after the others."""
+        """Returns the recent service above which an organisation ranks behind the others."""
         present = {waiting.ask.organisation for waiting in self.items.values()}
         present.update(self.recent.served)
         total = sum(self.recent.all(now_ms).values())
