--- a/saffronworks/owner/leases.py
+++ b/saffronworks/owner/leases.py
@@ -1,4 +1,4 @@
-"""Leases of entry nodes with one owner, cancels that must be acknowledged, and orphans."""
+"""Leases of entry nodes at an owner, unacknowledged cancels, and orphan streams."""
 
 import attrs
 
@@ -13,13 +13,17 @@
 
 
 def hash_key(key: RequestKey) -> int:
-    """A 32-bit hash of an attempt, equal on every node."""
+    """Returns a 32-bit hash of an attempt, the same on every node."""
     return hash32(f"{key.request_id}/{key.attempt}")
 
 
 @attrs.define
 class Lease:
-    """One entry node's lease; `incarnation` is None until its first heartbeat."""
+    """The lease of one entry node.
+
+    `incarnation` is None until the first heartbeat. `mismatches` counts the heartbeats in a row
+    whose digest of held attempts differs from the owner's.
+    """
 
     renewed_ms: int
     incarnation: int | None
@@ -28,13 +32,16 @@
 
 @attrs.define
 class LeaseTable:
-    """Leases by node; a lapsed one is taken out once."""
+    """Leases by node name; each lapses `lease_ms` after its last renewal."""
 
     lease_ms: int
     leases: dict[str, Lease] = attrs.Factory(dict)
 
     def renew(self, node: str, incarnation: int, now_ms: int) -> bool:
-        """Renew; True when the node restarted, so that what it held before is gone."""
+        """Renews a lease; returns True when the node restarted, and so lost what it held.
+
+        A lower incarnation than the recorded one is a late message and renews nothing.
+        """
         lease = self.leases.get(node)
         if lease is None or lease.incarnation is None:
             self.leases[node] = Lease(now_ms, incarnation)
@@ -47,16 +54,16 @@
         return False
 
     def touch(self, node: str, now_ms: int) -> None:
-        """A node that asks has a lease from now on, until its heartbeat tells more."""
+        """Creates a lease without an incarnation for a node that has not sent a heartbeat yet."""
         self.leases.setdefault(node, Lease(now_ms, None))
 
     def live(self, node: str, now_ms: int) -> bool:
-        """Whether the node's lease holds."""
+        """Returns True while the lease of a node has not lapsed."""
         lease = self.leases.get(node)
         return lease is not None and now_ms - lease.renewed_ms <= self.lease_ms
 
     def take_lapsed(self, now_ms: int) -> list[str]:
-        """Nodes whose lease lapsed; they are forgotten here."""
+        """Removes the lapsed leases and returns the names of their nodes."""
         lapsed = [node for node in self.leases if not self.live(node, now_ms)]
         for node in lapsed:
             del self.leases[node]
@@ -65,25 +72,25 @@
 
 @attrs.define
 class CancelList:
-    """Cancels on their way to endpoints, repeated until acknowledged."""
+    """Cancels to send to endpoints, each resent until acknowledged."""
 
     due_ms: dict[tuple[str, RequestKey], int] = attrs.Factory(dict)
 
     def add(self, endpoint: str, key: RequestKey, now_ms: int) -> None:
-        """Ask for a cancel from now on."""
+        """Adds a cancel that is due now, unless it is pending already."""
         self.due_ms.setdefault((endpoint, key), now_ms)
 
     def acknowledge(self, endpoint: str, key: RequestKey) -> None:
-        """The endpoint no longer holds the attempt."""
+        """Removes a cancel once the endpoint no longer runs the attempt."""
         self.due_ms.pop((endpoint, key), None)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """The endpoint is gone, and its memory with it."""
+        """Removes the cancels of an endpoint whose process has ended, and its streams with it."""
         for entry in [entry for entry in self.due_ms if entry[0] == endpoint]:
             del self.due_ms[entry]
 
     def take_due(self, now_ms: int) -> list[tuple[str, RequestKey]]:
-        """Cancels to send now; each comes again until it is acknowledged."""
+        """Returns the cancels to send now, and schedules each to be sent again."""
         due = [entry for entry, at_ms in self.due_ms.items() if at_ms <= now_ms]
         for entry in due:
             self.due_ms[entry] = now_ms + CANCEL_AGAIN_MS
@@ -92,12 +99,12 @@
 
 @attrs.define
 class OrphanWatch:
-    """Streams that engines list and nobody claims, with when each was first seen."""
+    """Streams that engines list and no entry node claims, with the time each was first seen."""
 
     first_seen_ms: dict[tuple[str, RequestKey], int] = attrs.Factory(dict)
 
     def observe(self, endpoint: str, unclaimed: set[RequestKey], now_ms: int) -> list[RequestKey]:
-        """Take one endpoint's unclaimed streams; returns those past the grace period."""
+        """Records the unclaimed streams of one endpoint; returns those past the grace period."""
         for entry in list(self.first_seen_ms):
             if entry[0] == endpoint and entry[1] not in unclaimed:
                 del self.first_seen_ms[entry]
