--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -1,4 +1,4 @@
-"""The owner's ledger of one endpoint: what it granted there, and what the endpoint reports."""
+"""The ledger of one endpoint: the work that the owner placed there, and its load reports."""
 
 from collections import deque
 
@@ -16,7 +16,7 @@
 
 
 class Stage:
-    """Stages of a held attempt, as they stand in `HeldKey.stage`."""
+    """Stages of a granted attempt, as sent in `HeldKey.stage`."""
 
     PREFILL = "prefill"
     READY = "ready"
@@ -25,7 +25,11 @@
 
 @attrs.define
 class Held:
-    """One granted attempt, from its grant to its release."""
+    """A granted attempt, from its grant to its release.
+
+    `expires_ms` is when its KV result expires; `limit_ms` is the time limit of its transfer;
+    `avoid` names the endpoints that failed the request before.
+    """
 
     key: RequestKey
     node: str
@@ -47,7 +51,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """An endpoint's own view of itself: the load of `age_ms` ago, the role of now if it has one."""
+    """A report of an endpoint: the decodes that ran `age_ms` ago, and its current role, if any."""
 
     running: int
     age_ms: int
@@ -56,7 +60,7 @@
 
 @attrs.frozen
 class CacheEvents:
-    """Prefixes that an endpoint evicted, up to a position; with `gap`, some news is lost."""
+    """Prefixes that an endpoint evicted up to `position`; with `gap`, the list is incomplete."""
 
     position: int
     evicted: tuple[str, ...] = ()
@@ -65,7 +69,12 @@
 
 @attrs.define
 class EndpointLedger:
-    """State of one endpoint. Times are the owner's, in milliseconds."""
+    """The scheduling state of one endpoint, with times in milliseconds on the owner's clock.
+
+    `links` holds the end time and size in bytes of each transfer under way. `foreign` counts
+    running decodes that this owner did not place. `unacknowledged` holds cancelled attempts
+    that may still occupy a slot.
+    """
 
     endpoint: Endpoint
     circuit: Circuit = attrs.Factory(Circuit)
@@ -91,17 +100,17 @@
             self.prefill_rate.value = self.endpoint.prefill_tokens_per_s
 
     def take_endpoint(self, endpoint: Endpoint) -> None:
-        """Follow a newer description; a role that changed at the endpoint itself stays."""
+        """Applies a newer bundle entry; an ordered role stays unless the entry changes its role."""
         if endpoint.role is not self.endpoint.role:
             self.role = endpoint.role
         self.endpoint = endpoint
 
     def open(self, now_ms: int) -> bool:
-        """Whether new work may go here."""
+        """Returns True when the endpoint may get new work."""
         return not self.leaving and not self.changing and self.circuit.admits(now_ms)
 
     def slots(self, now_ms: int) -> float:
-        """Slots that may be used now; fewer in slow start, none when closed."""
+        """Returns the slots this owner may use now: fewer in slow start, none unless `open`."""
         if not self.open(now_ms):
             return 0.0
         own = 1.0
@@ -110,31 +119,31 @@
         return own - self.foreign - len(self.unacknowledged)
 
     def free_slots(self, now_ms: int) -> int:
-        """Slots that are certainly free by the ledger."""
+        """Returns the number of slots, rounded down, that the decodes in the ledger leave free."""
         return int(self.slots(now_ms)) - len(self.decodes)
 
     def backlog_end_ms(self, now_ms: int) -> float:
-        """When the prefills granted here are predicted to have ended."""
+        """Returns the predicted end time of the last prefill granted here."""
         return max([now_ms, *(held.prefill_end_ms for held in self.prefills.values())])
 
     def prefill_work_ms(self, prompt_tokens: int, prefix_key: str) -> float:
-        """Predicted prefill time, less what the prefix cache saves."""
+        """Predicts the prefill time of the prompt tokens that the prefix cache does not hold."""
         fresh = max(1, prompt_tokens - self.prefixes.cached(prefix_key))
         return 1000.0 * fresh / self.prefill_rate.value
 
     def link_share(self, now_ms: int) -> float:
-        """Bytes per second for one more transfer on this endpoint's link."""
+        """Returns the bytes per second that one more transfer would get on this endpoint's link."""
         self.links = [entry for entry in self.links if entry[0] > now_ms]
         return self.endpoint.link_bytes_per_s / (len(self.links) + 1)
 
     def note_occupancy(self, now_ms: int) -> None:
-        """Remember how many decodes this owner had here, for lagged reports."""
+        """Records the number of decodes now, to compare with load reports that arrive later."""
         self.history.append((now_ms, len(self.decodes)))
         while len(self.history) > 1 and self.history[1][0] < now_ms - HISTORY_MS:
             self.history.popleft()
 
     def apply_events(self, events: CacheEvents) -> None:
-        """Forget what was evicted; after a gap, forget all, since anything may be gone."""
+        """Removes evicted prefixes; after a gap removes all, since any may have been evicted."""
         self.events_position = events.position
         if events.gap:
             self.prefixes = PrefixView()
@@ -142,7 +151,11 @@
             self.prefixes.forget(prefix_key)
 
     def apply_report(self, report: LoadReport, now_ms: int) -> None:
-        """Count as foreign what two reports in a row show beyond what was known then."""
+        """Counts as foreign the reported decodes beyond those in the ledger.
+
+        Reports lag, so a report is compared with the highest count around the time it
+        describes, and only an excess that two reports in a row show counts.
+        """
         as_of_ms = now_ms - report.age_ms
         known = [count for at_ms, count in self.history if abs(at_ms - as_of_ms) <= 200]
         before = [count for at_ms, count in self.history if at_ms <= as_of_ms]
