--- a/saffronworks/owner/placement.py
+++ b/saffronworks/owner/placement.py
@@ -1,4 +1,4 @@
-"""Choices of a cell: which prefill endpoint, whether a slot will be free, which decode endpoint."""
+"""Placement in a cell: chooses prefill and decode endpoints, and predicts free decode slots."""
 
 from collections.abc import Iterable, Mapping
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class PrefillChoice:
-    """A prefill endpoint with the predicted end of the prefill and of its transfer."""
+    """A prefill endpoint, with the predicted end of the prefill and of the transfer after it."""
 
     ledger: EndpointLedger
     end_ms: float
@@ -33,7 +33,10 @@
 def transfer_ms(
     pool: Pool, tokens: int, source: EndpointLedger, target: EndpointLedger | None, now_ms: int
 ) -> float:
-    """Predicted transfer time at the slower of both ends' shares of their links."""
+    """Predicts the transfer time of a KV result, limited by the slower of both links.
+
+    Without a `target`, only the link of `source` counts.
+    """
     rate = source.link_share(now_ms)
     if target is not None:
         rate = min(rate, target.link_share(now_ms))
@@ -41,7 +44,7 @@
 
 
 def takes_prefill(ledger: EndpointLedger, lead_ms: float, now_ms: int) -> bool:
-    """Whether a prefill may be granted there now: it is open, and nearly or wholly idle."""
+    """Returns True when an open prefill endpoint is idle, or will be within `lead_ms`."""
     if ledger.role is not Role.PREFILL or len(ledger.prefills) >= MOST_PREFILLS:
         return False
     return ledger.open(now_ms) and ledger.backlog_end_ms(now_ms) <= now_ms + lead_ms
@@ -54,10 +57,11 @@
     lead_ms: float,
     now_ms: int,
 ) -> PrefillChoice | None:
-    """The endpoint with the earliest predicted end, among those that can take one more.
+    """Returns the endpoint whose KV result is predicted to be ready first, or None.
 
-    One that is busy for longer than `lead_ms` takes none, so that the order stays the queue's.
-    An endpoint that failed the request before is taken only when there is no other.
+    An endpoint that is busy for longer than `lead_ms` is not considered: an attempt granted that
+    early could not be overtaken by one that the queue ranks higher. An endpoint that failed the
+    request before is chosen only when there is no other.
     """
     best: tuple[tuple[bool, float], PrefillChoice] | None = None
     for ledger in ledgers:
@@ -79,7 +83,7 @@
     then_ms: float,
     now_ms: int,
 ) -> float:
-    """Decode slots predicted free at `then_ms`, beyond those that granted prefills will want."""
+    """Predicts the free decode slots at `then_ms`, less one per attempt that has none yet."""
     free = 0.0
     for ledger in ledgers:
         if ledger.role is Role.DECODE:
@@ -111,7 +115,11 @@
 def choose_decode(
     pool: Pool, ledgers: Mapping[str, EndpointLedger], item: Held, now_ms: int
 ) -> tuple[EndpointLedger, float] | None:
-    """A decode endpoint with a free slot: the shortest transfer, then the lightest load."""
+    """Returns a decode endpoint with a free slot, and the predicted transfer time in ms.
+
+    Prefers the shortest transfer, to within 10 ms, then the least loaded endpoint. An endpoint
+    that failed the request before is chosen only when there is no other.
+    """
     source = ledgers.get(item.prefill_endpoint)
     best: tuple[tuple[bool, float, float], EndpointLedger] | None = None
     for ledger in ledgers.values():
