--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -1,9 +1,9 @@
-"""Role changes: an endpoint moves between prefill and decode as demand shifts.
+"""Role changes: moves endpoints between prefill and decode as demand shifts.
 
-Part of the core of a cell's owner, for pools whose bundle allows it (`change_roles`). The rule
-compares how busy both roles are, and moves one endpoint when that lets the cell serve clearly
-more, for long enough, and not soon after the last change. The endpoint is emptied first, and
-then told by a fenced order: only the owner that holds the fence may give one.
+Part of the scheduler of a cell, for pools whose bundle sets `change_roles`. One endpoint at a
+time changes, when one role is saturated, the move would raise the capacity of the cell clearly
+and for long enough, and the last change is not recent. The endpoint is drained first, and then
+gets an order with a fencing token, so that an owner that was replaced can't order it.
 """
 
 import attrs
@@ -23,15 +23,15 @@
 DRAIN_LIMIT_MS = 20_000
 ORDER_LIMIT_MS = 10_000
 ASK_AGAIN_MS = 1000
-# Reports lag: one that left before a change must not undo what is known of it.
+# Reports lag: one that was sent before a role change must not undo the change.
 REPORT_SETTLE_MS = 3000
-# How long a process may stand still unnoticed between its check of the fence and its order.
+# The longest pause of a process assumed between its check of the fence and its order.
 PAUSE_BOUND_MS = 2000
 
 
 @attrs.frozen
 class _Split:
-    """Endpoints of each role, and how much work each role has, in endpoints."""
+    """The endpoints of each role, and the load of each role as a number of busy endpoints."""
 
     prefills: int
     decodes: int
@@ -39,7 +39,10 @@
     decode_work: float
 
     def capacity(self, moved: int) -> float:
-        """How many times the present work fits when `moved` endpoints go over to prefill."""
+        """Returns the multiple of the present load that fits after a move.
+
+        `moved` endpoints go from decode to prefill; a negative number goes the other way.
+        """
         prefills, decodes = self.prefills + moved, self.decodes - moved
         if prefills < 1 or decodes < 1:
             return 0.0
@@ -47,7 +50,7 @@
 
 
 def plan_roles(state: CellState, now_ms: int) -> list[Command]:
-    """Look at both roles, begin a change, or carry on with the one under way."""
+    """Measures both roles, and starts a role change or advances the current one."""
     plan = state.roles
     if not state.cell.pool.change_roles or now_ms - plan.looked_ms < LOOK_MS:
         return []
@@ -80,7 +83,10 @@
 
 
 def _consider(state: CellState, split: _Split, now_ms: int) -> None:
-    """Begin a change once the same role has lacked an endpoint for long enough."""
+    """Starts a change once the same role has been short of an endpoint for `SUSTAIN_MS`.
+
+    Chooses the least loaded endpoint of the other role, which keeps at least one open endpoint.
+    """
     plan = state.roles
     to_prefill = plan.prefill_use.value >= plan.decode_use.value
     wanted = Role.PREFILL if to_prefill else Role.DECODE
@@ -125,14 +131,18 @@
 
 
 def _is_empty(state: CellState, ledger: EndpointLedger) -> bool:
-    """Whether nothing runs there, and no KV result waits there for its transfer."""
+    """Returns True when the endpoint runs nothing and holds no KV result to be transferred."""
     name = ledger.endpoint.name
     waits = any(held.prefill_endpoint == name for held in state.ready.values())
     return not (ledger.prefills or ledger.decodes or ledger.unacknowledged or waits)
 
 
 def _may_order(state: CellState, ledger: EndpointLedger, now_ms: int) -> bool:
-    """At an endpoint that does not check fences, an earlier owner's time must have run out."""
+    """Returns True when no earlier owner can still order the endpoint.
+
+    An endpoint that checks fences rejects an earlier owner itself. At any other, this owner
+    waits until an earlier owner's lease and longest pause have passed.
+    """
     if ledger.endpoint.checks_fence:
         return True
     return now_ms - state.roles.fence_taken_ms >= state.leases.lease_ms + PAUSE_BOUND_MS
@@ -149,7 +159,7 @@
 def _order(
     state: CellState, change: RoleChange, ledger: EndpointLedger, now_ms: int
 ) -> list[Command]:
-    """Send the order, and again with the same sequence until it is answered."""
+    """Returns the order, or a repeat with the same sequence number until it is answered."""
     if change.ordered_ms is not None and now_ms - change.ordered_ms < ASK_AGAIN_MS:
         return []
     change.ordered_ms = now_ms
@@ -159,14 +169,17 @@
 
 
 def take_fence(state: CellState, event: FenceTaken, now_ms: int) -> None:
-    """The store gave this owner a fence higher than any before."""
+    """Records the fence that the store issued, which is higher than any before it."""
     state.roles.fence = event.fence
     state.roles.fence_taken_ms = now_ms
     state.roles.sequence = 0
 
 
 def take_role_answer(state: CellState, event: RoleOrdered, now_ms: int) -> None:
-    """The endpoint took the order, or a higher fence is out and another owner acts."""
+    """Ends the change when the endpoint accepted or rejected its order.
+
+    A rejection means that the store has issued a higher fence, so this owner drops its own.
+    """
     change = state.roles.change
     if change is None or change.endpoint != event.endpoint:
         return
@@ -178,7 +191,7 @@
 
 
 def note_role(state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int) -> None:
-    """Where roles change, the endpoint itself is the truth about its role."""
+    """Applies the reported role of an endpoint, which overrides the ledger in such pools."""
     if not state.cell.pool.change_roles or report.role not in tuple(Role):
         return
     role = Role(report.role)
