--- a/saffronworks/owner/reclaims.py
+++ b/saffronworks/owner/reclaims.py
@@ -1,4 +1,4 @@
-"""Leases, reclaim and rebuild at the owner of a cell."""
+"""Lease renewal, reclaim of slots from lost nodes, and rebuild of the state of a new owner."""
 
 from saffronworks.messages import (
     HeldKey,
@@ -25,7 +25,11 @@
 
 
 def renew_lease(state: CellState, event: LeaseRenewal, now_ms: int) -> list[Command]:
-    """Renew a node's lease, and ask for its list when what it holds differs."""
+    """Renews the lease of a node, and requests its held attempts when their digest differs.
+
+    Outside the rebuild of a new owner, one mismatch alone requests nothing: messages under way
+    cause brief differences.
+    """
     commands: list[Command] = []
     if state.leases.renew(event.node, event.incarnation, now_ms):
         commands += reclaim_node(state, event.node, now_ms)
@@ -47,7 +51,11 @@
 
 
 def adopt_held(state: CellState, event: HeldList, now_ms: int) -> list[Command]:
-    """Make the ledger agree with the entry, which is the truth about its own requests."""
+    """Reconciles the held attempts of a node with its list, which is authoritative.
+
+    An attempt that the node does not list is dropped only once its grant is older than the
+    lease: the grant may not have reached the node when it wrote the list.
+    """
     listed = {item.key.request_id: item for item in event.held}
     for held in [held for held in state.held.values() if held.node == event.node]:
         item = listed.get(held.key.request_id)
@@ -81,7 +89,10 @@
 
 
 def reclaim_node(state: CellState, node: str, now_ms: int) -> list[Command]:
-    """Cancel at the engines all that a node held, until each cancel is acknowledged."""
+    """Drops all attempts of a lost node, and cancels the granted ones at their endpoints.
+
+    Each cancel is repeated until it is acknowledged, and occupies a decode slot until then.
+    """
     for request_id, waiting in list(state.queue.items.items()):
         if waiting.ask.node == node:
             del state.queue.items[request_id]
@@ -100,7 +111,11 @@
 
 
 def take_streams(state: CellState, event: StreamsListed, now_ms: int) -> list[Command]:
-    """Compare the live streams of an endpoint with what is claimed."""
+    """Compares the live streams of an endpoint with the attempts in the ledger.
+
+    Requests the held attempts of the nodes that unclaimed streams belong to, and cancels streams
+    that stay unclaimed past the grace period.
+    """
     unclaimed: set[RequestKey] = set()
     holders: set[str] = set()
     for key, holder in event.streams:
