--- a/saffronworks/owner/predictors.py
+++ b/saffronworks/owner/predictors.py
@@ -1,4 +1,4 @@
-"""Predictions learned from what was seen, with priors for the time before."""
+"""Estimators learned from finished requests, with priors until there are enough samples."""
 
 import bisect
 
@@ -20,13 +20,13 @@
     value: float
 
     def add(self, sample: float) -> None:
-        """Take one sample in."""
+        """Adds one sample, with the weight `SMOOTHING`."""
         self.value += SMOOTHING * (sample - self.value)
 
 
 @attrs.define
 class LengthTable:
-    """Output lengths of one model, as counts in buckets with edges at powers of sqrt 2.
+    """A histogram of the output lengths of one model, with bucket edges at powers of sqrt 2.
 
     `above[i]` is the sum of the counts in the buckets after `i`.
     """
@@ -36,7 +36,7 @@
     above: list[float] = attrs.Factory(lambda: [0.0] * (len(BUCKET_EDGES) + 1))
 
     def add(self, tokens: int) -> None:
-        """Count one finished answer; halve all counts when there are many."""
+        """Counts one finished answer; halves all counts at a limit, so that old answers fade."""
         bucket = bisect.bisect_left(BUCKET_EDGES, tokens)
         self.counts[bucket] += 1.0
         self.total += 1.0
@@ -48,7 +48,10 @@
             self.total /= 2
 
     def survival(self, tokens: float, most: int) -> float:
-        """Share of answers longer than `tokens`; the prior is uniform up to `most`."""
+        """Estimates the share of answers longer than `tokens`.
+
+        The prior, with the weight of `PRIOR_COUNT` answers, is uniform up to `most` tokens.
+        """
         if tokens >= most:
             return 0.0
         prior = PRIOR_COUNT * (1.0 - tokens / most)
@@ -61,28 +64,28 @@
         return (above + prior) / (self.total + PRIOR_COUNT)
 
     def still_running(self, now_tokens: float, then_tokens: float, most: int) -> float:
-        """Chance that an answer of `now_tokens` so far is longer than `then_tokens`."""
+        """Estimates the probability that an answer at `now_tokens` goes beyond `then_tokens`."""
         alive = self.survival(now_tokens, most)
         return self.survival(then_tokens, most) / alive if alive > 0 else 0.0
 
 
 @attrs.define
 class PrefixView:
-    """What one endpoint's prefix cache is believed to hold, latest used last."""
+    """The expected content of the prefix cache of one endpoint, least recently used first."""
 
     tokens: dict[str, int] = attrs.Factory(dict)
 
     def note(self, prefix_key: str, cached_tokens: int) -> None:
-        """Record a use; a hit tells how many tokens the prefix saves."""
+        """Records a use of a prefix, and after a cache hit the number of tokens that it saved."""
         known = self.tokens.pop(prefix_key, 0)
         self.tokens[prefix_key] = cached_tokens or known
         if len(self.tokens) > PREFIXES_KEPT:
             self.tokens.pop(next(iter(self.tokens)))
 
     def forget(self, prefix_key: str) -> None:
-        """The endpoint evicted the prefix."""
+        """Removes a prefix that the endpoint evicted."""
         self.tokens.pop(prefix_key, None)
 
     def cached(self, prefix_key: str) -> int:
-        """Tokens that a prefill is expected to save."""
+        """Returns the tokens that a prefill with this prefix is expected to save."""
         return self.tokens.get(prefix_key, 0)
