--- a/saffronworks/owner/policies.py
+++ b/saffronworks/owner/policies.py
@@ -1,4 +1,4 @@
-"""The knobs of a cell's decisions, and what the bundle's weight makes of them."""
+"""Tuning parameters of the scheduler of a cell."""
 
 import attrs
 
@@ -7,15 +7,17 @@
 
 @attrs.frozen
 class Policy:
-    """Knobs of admission and order; docs/design/admission.md has what was measured.
+    """Tuning parameters of admission and queue order; docs/design/admission.md has the trials.
 
-    `wait_share` is the share of a KV result's life that it may be planned to wait for a slot,
-    at weight 0 and, with `wait_share_weight` added, at weight 1. `spare_slots` is how many
-    decode slots must be predicted free beyond the one wanted. Each `late_every_grants`th grant
-    may go to a request that is late already; a request counts as late when less than
-    `slack_margin_share` of its target is left. `fair_factor` times the mean service is what an
-    organisation may take before others go first. `prefill_lead_ms` before the end of one
-    prefill, the next is granted at the same endpoint.
+    `wait_share`: the share of the lifetime of a KV result that it may be planned to wait for a
+    decode slot, at goodput weight 0; at weight 1, `wait_share_weight` is added.
+    `spare_slots`: the decode slots that must be predicted free beyond the one needed.
+    `late_every_grants`: each such number of grants, one may go to a late request.
+    `slack_margin_share`: a request is late when less than this share of its target is left.
+    `fair_factor`: an organisation with more than this multiple of the mean service ranks behind
+    the others.
+    `prefill_lead_ms`: how long before the predicted end of a prefill the next one may be granted
+    at the same endpoint.
     """
 
     wait_share: float = 0.05
@@ -27,5 +29,5 @@
     prefill_lead_ms: float = 20.0
 
     def planned_wait_ms(self, weight: float, kv_kept_ms: int) -> float:
-        """How long a KV result may be planned to wait for its slot."""
+        """Returns how long a KV result may be planned to wait for a decode slot."""
         return kv_kept_ms * (self.wait_share + self.wait_share_weight * weight)
