--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -1,4 +1,4 @@
-"""All that the owner of one cell knows."""
+"""The scheduler state of one cell, and functions that update it."""
 
 import attrs
 
@@ -28,7 +28,10 @@
 
 @attrs.define
 class RoleChange:
-    """An endpoint on its way to another role: emptied first, then ordered."""
+    """A role change of one endpoint, which is drained before it gets the order.
+
+    `empty_since_ms` and `ordered_ms` are None until the drain ended and the order was sent.
+    """
 
     endpoint: str
     role: Role
@@ -39,7 +42,11 @@
 
 @attrs.define
 class RolePlan:
-    """How busy both roles are, the change under way, and the fence that allows orders."""
+    """Utilisation of both roles, the current role change, and the fence for its order.
+
+    `wanted` is the role that is short of an endpoint. `fence` is 0 while this owner has none;
+    `sequence` numbers the orders under one fence.
+    """
 
     looked_ms: int = 0
     prefill_use: Average = attrs.Factory(lambda: Average(0.0))
@@ -56,7 +63,13 @@
 
 @attrs.define
 class CellState:
-    """All that the owner of one cell knows. `grants_from_ms` ends the rebuild of a new owner."""
+    """The scheduler state of one cell.
+
+    `grants_from_ms` is the end of the rebuild of a new owner. `held` has the granted attempts
+    and `ready` those whose KV result waits for a decode slot, by request id. `ended` has the
+    last ended attempt of a request and its time. `hold_ms` is the mean time that an attempt
+    occupies a decode slot.
+    """
 
     cell: Cell
     owner: str
@@ -88,7 +101,10 @@
     now_ms: int,
     policy: Policy | None = None,
 ) -> CellState:
-    """A new owner's state; it grants only after `rebuild_ms`, when entries have reported."""
+    """Returns the state of a new owner.
+
+    It grants nothing for `rebuild_ms`, in which entry nodes report the attempts that they hold.
+    """
     queue = WaitQueue(policy or Policy())
     state = CellState(cell, owner, LeaseTable(lease_ms), now_ms + rebuild_ms, queue=queue)
     set_cell(state, cell)
@@ -96,7 +112,7 @@
 
 
 def set_cell(state: CellState, cell: Cell) -> None:
-    """Take the newer description; endpoints that stay keep what was learned of them."""
+    """Applies a newer bundle entry; ledgers of endpoints that stay keep their state."""
     state.cell = cell
     state.models = {model.name: model for model in cell.models}
     for name in state.models:
@@ -113,7 +129,7 @@
 
 
 def drop_held(state: CellState, held: Held) -> None:
-    """Forget an attempt and what it held."""
+    """Removes an attempt from the state and from the ledgers of its endpoints."""
     state.held.pop(held.key.request_id, None)
     state.ready.pop(held.key.request_id, None)
     for ledger in state.ledgers.values():
@@ -122,7 +138,11 @@
 
 
 def note_failure(state: CellState, name: str, failure: str, now_ms: int) -> None:
-    """Count a failure of an endpoint; of each role at least half stay in, but for those gone."""
+    """Counts a failure of an endpoint, which may open its circuit.
+
+    Failures in a row open no circuit that would leave less than half of a role's endpoints. A
+    refused connection opens it in any case, since nothing listens there.
+    """
     ledger = state.ledgers.get(name)
     if ledger is None:
         return
@@ -133,7 +153,7 @@
 
 
 def open_decoders(state: CellState, now_ms: int) -> list[EndpointLedger]:
-    """The decode endpoints that may get work."""
+    """Returns the decode endpoints that may get new work."""
     return [
         ledger
         for ledger in state.ledgers.values()
