--- a/saffronworks/owner/cell_events.py
+++ b/saffronworks/owner/cell_events.py
@@ -1,4 +1,4 @@
-"""Events and commands of the owner of a cell (`cells.py`)."""
+"""Events that the scheduler of a cell (`cells.py`) takes, and commands that it returns."""
 
 import attrs
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class CacheReported:
-    """An endpoint told which prefixes it evicted."""
+    """An endpoint reported the prefixes that it evicted."""
 
     endpoint: str
     events: CacheEvents
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class StreamsListed:
-    """The live streams of an endpoint, each with the node that it belongs to."""
+    """An endpoint listed its live streams, each with the entry node that it belongs to."""
 
     endpoint: str
     streams: tuple[tuple[RequestKey, str], ...]
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class CancelAcknowledged:
-    """The endpoint holds the attempt no more."""
+    """The endpoint no longer runs the attempt."""
 
     endpoint: str
     key: RequestKey
@@ -68,35 +68,35 @@
 
 @attrs.frozen
 class EndpointGone:
-    """Nobody listens at the endpoint; a process that is gone holds no memory."""
+    """A connection to the endpoint was refused: its process ended, and its streams with it."""
 
     endpoint: str
 
 
 @attrs.frozen
 class EndpointsLeaving:
-    """The endpoints that get no new work."""
+    """The set of endpoints that drain, and so get no new work, has changed."""
 
     names: frozenset[str]
 
 
 @attrs.frozen
 class CellChanged:
-    """A newer bundle version describes the cell anew."""
+    """A newer version of the bundle is in force."""
 
     cell: Cell
 
 
 @attrs.frozen
 class FenceTaken:
-    """The store gave this owner a fencing token for the orders of the cell."""
+    """The store issued a fencing token to this owner for role orders in the cell."""
 
     fence: int
 
 
 @attrs.frozen
 class RoleOrdered:
-    """An endpoint answered an order; one that is not accepted came with an old fence."""
+    """An endpoint accepted a role order, or rejected it because of a stale fence."""
 
     endpoint: str
     accepted: bool
@@ -104,12 +104,12 @@
 
 @attrs.frozen
 class Tick:
-    """Time passes."""
+    """The timer fired, so leases, queued attempts, cancels and role changes are checked."""
 
 
 @attrs.frozen
 class Tell:
-    """Send a message to an entry node."""
+    """Sends a message to an entry node."""
 
     node: str
     message: object
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class CancelStream:
-    """Cancel an attempt at an endpoint; answered by `CancelAcknowledged` or `EndpointGone`."""
+    """Cancels an attempt at an endpoint; answered by `CancelAcknowledged` or `EndpointGone`."""
 
     endpoint: str
     key: RequestKey
@@ -125,16 +125,17 @@
 
 @attrs.frozen
 class TakeFence:
-    """Take a new fencing token for the cell; answered by `FenceTaken`, or not at all."""
+    """Takes a new fencing token for the cell; answered by `FenceTaken`, or not at all."""
 
     cell: str
 
 
 @attrs.frozen
 class OrderRole:
-    """Order an endpoint to take a role; answered by `RoleOrdered`, or not at all.
+    """Orders an endpoint to take a role; answered by `RoleOrdered`, or not at all.
 
-    With `recheck`, the endpoint does not check fences: look in the store just before.
+    With `recheck`, the endpoint does not check fences, so the fence is compared with the store
+    just before the order is sent.
     """
 
     endpoint: str
