--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -1,4 +1,4 @@
-"""From the end of a prefill to the end of an attempt, at the owner of a cell."""
+"""Decode assignment: handles an attempt from the end of its prefill to its release."""
 
 from saffronworks.messages import (
     Assign,
@@ -29,7 +29,11 @@
 
 
 def take_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
-    """A KV result waits; a decode endpoint may have refused it before."""
+    """Records that a KV result waits for a decode slot.
+
+    With `refused_by`, the assigned endpoint refused it, and another one is needed. A repeat
+    without a refusal gets the same assignment again, since the first may be lost.
+    """
     held = state.held.get(event.key.request_id)
     if held is None or held.key != event.key:
         return []
@@ -62,7 +66,7 @@
 
 
 def assign_ready(state: CellState, now_ms: int) -> list[Command]:
-    """Assign free slots to the KV results that wait, those that expire first at first."""
+    """Assigns free decode slots to waiting KV results, those that expire first before others."""
     commands: list[Command] = []
     for held in sorted(state.ready.values(), key=lambda held: held.expires_ms):
         choice = choose_decode(state.cell.pool, state.ledgers, held, now_ms)
@@ -95,7 +99,7 @@
 
 
 def take_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
-    """The attempt holds nothing any more; learn from how it went."""
+    """Removes an ended attempt, and updates circuits and predictions from its outcome."""
     request_id = event.key.request_id
     state.ended[request_id] = (event.key.attempt, now_ms)
     waiting = state.queue.items.get(request_id)
