--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -1,4 +1,4 @@
-"""The owner service: runs the cores of the cells that this node owns, and asks their engines."""
+"""The owner service: runs the schedulers of the cells that this node owns, and polls engines."""
 
 import logging
 
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class _EndpointEvent:
-    """What an engine said, on its way to the core of its cell."""
+    """An event from an engine or the store, addressed to the scheduler of a cell."""
 
     cell: str
     event: cell_events.Event
@@ -44,11 +44,11 @@
 
 @attrs.frozen
 class _TickAll:
-    """A tick for every cell."""
+    """A timer event for every cell."""
 
 
 def read_cells(change: InForce) -> list[Cell]:
-    """The cells of a bundle document; none when it cannot be read."""
+    """Returns the cells of a bundle document, or an empty list when it cannot be read."""
     document = change.document
     record = read_record(document.content)
     bundle = read_bundle(record.text, document.key, document.version)
@@ -59,7 +59,10 @@
 
 
 class OwnerService:
-    """Owns the ledgers of its cells."""
+    """Runs the schedulers of the cells that this node owns.
+
+    `states` has the state of each owned cell, `known` all cells in force, both by cell name.
+    """
 
     name = "owner"
     _tasks: TaskGroup
@@ -74,7 +77,7 @@
         self._pollers: dict[str, anyio.CancelScope] = {}
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Drive the cores until cancelled."""
+        """Passes messages and ticks to the schedulers until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(self._tick, kernel)
@@ -128,7 +131,7 @@
             self._settle(kernel, tasks)
 
     def _settle(self, kernel: Kernel, tasks: TaskGroup) -> None:
-        """Take up the cells that are this node's now, and lay down those that are not."""
+        """Starts the schedulers of newly owned cells, and stops those of cells no longer owned."""
         members: MemberService = kernel.find("members")
         for name, cell in self.known.items():
             mine = members.owner_of(name) == kernel.node
@@ -187,7 +190,7 @@
     async def _order_role(
         self, kernel: Kernel, name: str, address: str, command: cell_events.OrderRole
     ) -> None:
-        """Give an order; a call without a clear answer tells nothing, and is made again."""
+        """Sends a role order; after an unclear answer posts no event, so that it is sent again."""
         if command.recheck and not await self._fences.holds(name, command.fence):
             kernel.post(
                 self.name, _EndpointEvent(name, cell_events.RoleOrdered(command.endpoint, False))
@@ -210,7 +213,7 @@
             kernel.post(self.name, _EndpointEvent(name, event))
 
     async def _poll(self, kernel: Kernel, name: str, scope: anyio.CancelScope) -> None:
-        """Ask each engine of a cell for its load, and now and then for its streams."""
+        """Polls the engines of a cell for load, and less often for streams and cache events."""
         rounds = max(1, self._settings.streams_every_ms // self._settings.report_every_ms)
         turn = 0
         with scope:
@@ -232,7 +235,7 @@
             kernel.post(self.name, _EndpointEvent(name, event))
 
     async def _ask_events(self, kernel: Kernel, name: str, ledger: EndpointLedger) -> None:
-        """Ask a prefill endpoint what its prefix cache evicted."""
+        """Polls a prefill endpoint for the prefixes that its cache evicted."""
         endpoint = ledger.endpoint
         if ledger.role is not Role.PREFILL:
             return
