--- a/saffronworks/owner/__init__.py
+++ b/saffronworks/owner/__init__.py
@@ -1,1 +1,1 @@
-"""The owner of a cell: its deciding cores, their state, and the service that runs them."""
+"""The owner of a cell: its scheduler, the scheduler state, and the service that runs it."""
