--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -8,7 +8,7 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
-    Tell,
+    SendMessage,
 )
 from saffronworks.owner.cell_states import CellState, drop_held, open_decoders
 from saffronworks.owner.ledgers import Held, Stage
@@ -44,7 +44,7 @@
     held = state.held.get(request_id)
     if held is not None and held.key == ask.key:
         grant = Grant(ask.key, held.prefill_endpoint)
-        return [Tell(ask.node, grant)] if held.stage == Stage.PREFILL else []
+        return [SendMessage(ask.node, grant)] if held.stage == Stage.PREFILL else []
     if held is not None:
         drop_held(state, held)
     waiting = state.queue.items.get(request_id)
@@ -98,7 +98,7 @@
 def refuse(state: CellState, ask: Ask, reason: str, retry_after_ms: int) -> Command:
     """Returns the refusal of an attempt that has not started its prefill."""
     state.refused += 1
-    return Tell(ask.node, Refusal(ask.key, reason, retry_after_ms))
+    return SendMessage(ask.node, Refusal(ask.key, reason, retry_after_ms))
 
 
 def grant_waiting(state: CellState, now_ms: int) -> list[Command]:
@@ -158,4 +158,4 @@
     choice.ledger.prefills[ask.key.request_id] = held
     choice.ledger.circuit.take_trial(now_ms)
     state.granted += 1
-    return Tell(ask.node, Grant(ask.key, held.prefill_endpoint))
+    return SendMessage(ask.node, Grant(ask.key, held.prefill_endpoint))
--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -8,7 +8,7 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
-    Tell,
+    SendMessage,
 )
 from saffronworks.owner.cell_states import CellState, drop_held, note_failure
 from saffronworks.owner.ledgers import EndpointLedger, Held, Stage
@@ -41,7 +41,7 @@
         note_failure(state, event.refused_by, event.failure, now_ms)
     if held.stage == Stage.DECODE:
         if event.refused_by != held.decode_endpoint:
-            return [Tell(event.node, Assign(event.key, held.decode_endpoint, held.limit_ms))]
+            return [SendMessage(event.node, Assign(event.key, held.decode_endpoint, held.limit_ms))]
         state.ledgers[held.decode_endpoint].decodes.pop(event.key.request_id, None)
         held.decode_endpoint = ""
     if held.stage == Stage.PREFILL:
@@ -75,7 +75,7 @@
         elif now_ms >= held.expires_ms:
             state.withdrawn += 1
             drop_held(state, held)
-            commands.append(Tell(held.node, AssignRefused(held.key)))
+            commands.append(SendMessage(held.node, AssignRefused(held.key)))
     return commands
 
 
@@ -95,7 +95,7 @@
         state.ledgers[held.prefill_endpoint].links.append((held.decode_started_ms, size))
     usual_ms = max(transfer, state.transfer_ms.value)
     held.limit_ms = int(LEAST_TRANSFER_LIMIT_MS + TRANSFER_LIMIT_FACTOR * usual_ms)
-    return Tell(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
+    return SendMessage(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
 
 
 def take_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
--- a/saffronworks/owner/cell_events.py
+++ b/saffronworks/owner/cell_events.py
@@ -29,7 +29,7 @@
     "RoleOrdered",
     "StreamsListed",
     "TakeFence",
-    "Tell",
+    "SendMessage",
     "Tick",
 ]
 
@@ -108,7 +108,7 @@
 
 
 @attrs.frozen
-class Tell:
+class SendMessage:
     """Sends a message to an entry node."""
 
     node: str
@@ -164,4 +164,4 @@
 )
 
 
-Command = Tell | CancelStream | TakeFence | OrderRole
+Command = SendMessage | CancelStream | TakeFence | OrderRole
--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -165,7 +165,7 @@
             return
         for command in cells.step(state, event, kernel.now_ms()):
             match command:
-                case cell_events.Tell():
+                case cell_events.SendMessage():
                     members: MemberService = kernel.find("members")
                     members.send(kernel, command.node, command.message)
                 case cell_events.CancelStream():
--- a/saffronworks/owner/reclaims.py
+++ b/saffronworks/owner/reclaims.py
@@ -9,8 +9,8 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
+    SendMessage,
     StreamsListed,
-    Tell,
 )
 from saffronworks.owner.cell_states import CellState, drop_held
 from saffronworks.owner.leases import MISMATCHES_TO_ASK, hash_key
@@ -46,7 +46,7 @@
     lease.mismatches += 1
     rebuilding = now_ms < state.grants_from_ms
     if rebuilding or lease.mismatches >= MISMATCHES_TO_ASK:
-        commands.append(Tell(event.node, HeldQuery(state.cell.name)))
+        commands.append(SendMessage(event.node, HeldQuery(state.cell.name)))
     return commands
 
 
@@ -123,7 +123,9 @@
         if held is None or held.key != key:
             unclaimed.add(key)
             holders.add(holder)
-    commands: list[Command] = [Tell(node, HeldQuery(state.cell.name)) for node in sorted(holders)]
+    commands: list[Command] = [
+        SendMessage(node, HeldQuery(state.cell.name)) for node in sorted(holders)
+    ]
     for key in state.orphans.observe(event.endpoint, unclaimed, now_ms):
         state.ended[key.request_id] = (key.attempt, now_ms)
         _cancel(state, event.endpoint, key, now_ms)
--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -58,7 +58,7 @@
     return [
         c.message
         for c in commands
-        if isinstance(c, cell_events.Tell) and isinstance(c.message, kind)
+        if isinstance(c, cell_events.SendMessage) and isinstance(c.message, kind)
     ]
 
 
@@ -206,7 +206,7 @@
 
     def feed(self, event, lose=False):
         for command in cells.step(self.state, event, self.now_ms):
-            if lose or not isinstance(command, cell_events.Tell):
+            if lose or not isinstance(command, cell_events.SendMessage):
                 continue
             self.hear(command.message)
 
--- a/tools/decision_bench.py
+++ b/tools/decision_bench.py
@@ -88,7 +88,7 @@
     ask = Ask(key, "n", state.cell.name, "m", f"o{now_ms % 7}", 3000, "x", 200, 1, 0)
     commands = cells.step(state, ask, now_ms)
     for command in commands:
-        if isinstance(command, cell_events.Tell) and isinstance(command.message, Grant):
+        if isinstance(command, cell_events.SendMessage) and isinstance(command.message, Grant):
             granted = command.message.key
             cells.step(state, Prefilled(granted, "n", state.cell.name, 9, 0, 800), now_ms)
             running.append(granted)
--- a/tools/fleet_bench.py
+++ b/tools/fleet_bench.py
@@ -188,7 +188,7 @@
     for now_ms in range(took_ms, took_ms + 10 * REBUILD_MS, TICK_MS):
         asked = (now_ms - took_ms) % ASK_AGAIN_MS == 0
         for command in cells.step(state, ask if asked else cell_events.Tick(), now_ms):
-            if isinstance(command, cell_events.Tell) and isinstance(command.message, Grant):
+            if isinstance(command, cell_events.SendMessage) and isinstance(command.message, Grant):
                 return now_ms - killed_ms
     return -1.0
 
--- a/tools/policy_drivers.py
+++ b/tools/policy_drivers.py
@@ -192,7 +192,7 @@
     def _step(self, event: cell_events.Event) -> None:
         for command in cells.step(self.state, event, int(self.bench.clock.now_ms)):
             match command:
-                case cell_events.Tell():
+                case cell_events.SendMessage():
                     self._tell(command.message)
                 case cell_events.CancelStream():
                     self.bench.engines[command.endpoint].end(command.key)
