--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -26,13 +26,13 @@
     "grant_waiting",
     "predict_wait",
     "refuse",
-    "take_ask",
+    "handle_ask",
 ]
 
 LEAST_RETRY_AFTER_MS = 500
 
 
-def take_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
+def handle_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
     """Queues an attempt, or refuses it at once.
 
     A repeated ask of a granted attempt gets its grant again, since the first may be lost.
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -15,9 +15,9 @@
 from saffronworks.owner.admissions import (
     LEAST_RETRY_AFTER_MS,
     grant_waiting,
+    handle_ask,
     predict_wait,
     refuse,
-    take_ask,
 )
 from saffronworks.owner.assignments import assign_ready, take_prefilled, take_release
 from saffronworks.owner.cell_events import (
@@ -48,7 +48,7 @@
     """Applies one event to `state` and returns the commands to run, in order."""
     match event:
         case Ask():
-            commands = take_ask(state, event, now_ms)
+            commands = handle_ask(state, event, now_ms)
         case Prefilled():
             commands = take_prefilled(state, event, now_ms)
         case Release():
