--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "assign_ready",
-    "take_prefilled",
+    "handle_prefilled",
     "take_release",
 ]
 
@@ -28,7 +28,7 @@
 TRANSFER_LIMIT_FACTOR = 4
 
 
-def take_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
+def handle_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
     """Records that a KV result waits for a decode slot.
 
     With `refused_by`, the assigned endpoint refused it, and another one is needed. A repeat
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -19,7 +19,7 @@
     predict_wait,
     refuse,
 )
-from saffronworks.owner.assignments import assign_ready, take_prefilled, take_release
+from saffronworks.owner.assignments import assign_ready, handle_prefilled, take_release
 from saffronworks.owner.cell_events import (
     CacheReported,
     CancelAcknowledged,
@@ -50,7 +50,7 @@
         case Ask():
             commands = handle_ask(state, event, now_ms)
         case Prefilled():
-            commands = take_prefilled(state, event, now_ms)
+            commands = handle_prefilled(state, event, now_ms)
         case Release():
             commands = take_release(state, event, now_ms)
         case LeaseRenewal():
