--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -19,7 +19,7 @@
 __all__ = [
     "assign_ready",
     "handle_prefilled",
-    "take_release",
+    "handle_release",
 ]
 
 LEAST_TRANSFER_LIMIT_MS = 800
@@ -98,7 +98,7 @@
     return SendMessage(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
 
 
-def take_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
+def handle_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
     """Removes an ended attempt, and updates circuits and predictions from its outcome."""
     request_id = event.key.request_id
     state.ended[request_id] = (event.key.attempt, now_ms)
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -19,7 +19,7 @@
     predict_wait,
     refuse,
 )
-from saffronworks.owner.assignments import assign_ready, handle_prefilled, take_release
+from saffronworks.owner.assignments import assign_ready, handle_prefilled, handle_release
 from saffronworks.owner.cell_events import (
     CacheReported,
     CancelAcknowledged,
@@ -52,7 +52,7 @@
         case Prefilled():
             commands = handle_prefilled(state, event, now_ms)
         case Release():
-            commands = take_release(state, event, now_ms)
+            commands = handle_release(state, event, now_ms)
         case LeaseRenewal():
             commands = renew_lease(state, event, now_ms)
         case HeldList():
