--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -36,7 +36,7 @@
     Tick,
 )
 from saffronworks.owner.cell_states import CellState, new_cell, note_failure, set_cell
-from saffronworks.owner.reclaims import adopt_held, reclaim_node, renew_lease, take_streams
+from saffronworks.owner.reclaims import adopt_held, handle_streams, reclaim_node, renew_lease
 from saffronworks.owner.roles import note_role, plan_roles, take_fence, take_role_answer
 
 __all__ = ["CellState", "new_cell", "predict_wait", "step"]
@@ -58,7 +58,7 @@
         case HeldList():
             commands = adopt_held(state, event, now_ms)
         case StreamsListed():
-            commands = take_streams(state, event, now_ms)
+            commands = handle_streams(state, event, now_ms)
         case Tick():
             commands = _tick(state, now_ms)
         case _:
--- a/saffronworks/owner/reclaims.py
+++ b/saffronworks/owner/reclaims.py
@@ -20,7 +20,7 @@
     "adopt_held",
     "reclaim_node",
     "renew_lease",
-    "take_streams",
+    "handle_streams",
 ]
 
 
@@ -110,7 +110,7 @@
         state.ledgers[endpoint].unacknowledged.add(key)
 
 
-def take_streams(state: CellState, event: StreamsListed, now_ms: int) -> list[Command]:
+def handle_streams(state: CellState, event: StreamsListed, now_ms: int) -> list[Command]:
     """Compares the live streams of an endpoint with the attempts in the ledger.
 
     Requests the held attempts of the nodes that unclaimed streams belong to, and cancels streams
