--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -13,7 +13,7 @@
 from saffronworks.owner.cell_states import CellState, RoleChange
 from saffronworks.owner.ledgers import EndpointLedger, LoadReport
 
-__all__ = ["note_role", "plan_roles", "take_fence", "take_role_answer"]
+__all__ = ["note_role", "plan_roles", "handle_fence_taken", "take_role_answer"]
 
 LOOK_MS = 250
 LEAST_USE = 0.92
@@ -168,7 +168,7 @@
     return [OrderRole(change.endpoint, change.role, plan.fence, plan.sequence, recheck)]
 
 
-def take_fence(state: CellState, event: FenceTaken, now_ms: int) -> None:
+def handle_fence_taken(state: CellState, event: FenceTaken, now_ms: int) -> None:
     """Records the fence that the store issued, which is higher than any before it."""
     state.roles.fence = event.fence
     state.roles.fence_taken_ms = now_ms
