--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -37,7 +37,7 @@
 )
 from saffronworks.owner.cell_states import CellState, new_cell, note_failure, set_cell
 from saffronworks.owner.reclaims import adopt_held, handle_streams, reclaim_node, renew_lease
-from saffronworks.owner.roles import handle_fence_taken, note_role, plan_roles, take_role_answer
+from saffronworks.owner.roles import handle_fence_taken, handle_role_reply, note_role, plan_roles
 
 __all__ = ["CellState", "new_cell", "predict_wait", "step"]
 
@@ -92,7 +92,7 @@
         case FenceTaken():
             handle_fence_taken(state, event, now_ms)
         case RoleOrdered():
-            take_role_answer(state, event, now_ms)
+            handle_role_reply(state, event, now_ms)
     return []
 
 
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -13,7 +13,7 @@
 from saffronworks.owner.cell_states import CellState, RoleChange
 from saffronworks.owner.ledgers import EndpointLedger, LoadReport
 
-__all__ = ["note_role", "plan_roles", "handle_fence_taken", "take_role_answer"]
+__all__ = ["note_role", "plan_roles", "handle_fence_taken", "handle_role_reply"]
 
 LOOK_MS = 250
 LEAST_USE = 0.92
@@ -175,7 +175,7 @@
     state.roles.sequence = 0
 
 
-def take_role_answer(state: CellState, event: RoleOrdered, now_ms: int) -> None:
+def handle_role_reply(state: CellState, event: RoleOrdered, now_ms: int) -> None:
     """Ends the change when the endpoint accepted or rejected its order.
 
     A rejection means that the store has issued a higher fence, so this owner drops its own.
