--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -15,7 +15,7 @@
 
 __all__ = ["note_role", "plan_roles", "handle_fence_taken", "handle_role_reply"]
 
-LOOK_MS = 250
+EVALUATION_INTERVAL_MS = 250
 LEAST_USE = 0.92
 LEAST_GAIN = 1.25
 SUSTAIN_MS = 4000
@@ -52,7 +52,7 @@
 def plan_roles(state: CellState, now_ms: int) -> list[Command]:
     """Measures both roles, and starts a role change or advances the current one."""
     plan = state.roles
-    if not state.cell.pool.change_roles or now_ms - plan.looked_ms < LOOK_MS:
+    if not state.cell.pool.change_roles or now_ms - plan.looked_ms < EVALUATION_INTERVAL_MS:
         return []
     plan.looked_ms = now_ms
     split = _observe(state, now_ms)
--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -11,7 +11,12 @@
 from saffronworks.messages import RequestKey
 from saffronworks.owner import cell_events, cells
 from saffronworks.owner.ledgers import Held, LoadReport, Stage
-from saffronworks.owner.roles import ASK_AGAIN_MS, LOOK_MS, PAUSE_BOUND_MS, SUSTAIN_MS
+from saffronworks.owner.roles import (
+    ASK_AGAIN_MS,
+    EVALUATION_INTERVAL_MS,
+    PAUSE_BOUND_MS,
+    SUSTAIN_MS,
+)
 from saffronworks.ownership import Cell
 from saffronworks.standins.callers import LoadPlan, run_load
 from saffronworks.standins.sites import SiteShape
@@ -60,7 +65,7 @@
     state = context.state
     until_ms = context.now_ms + for_ms
     while context.now_ms < until_ms:
-        context.now_ms += LOOK_MS
+        context.now_ms += EVALUATION_INTERVAL_MS
         for command in cells.step(state, cell_events.Tick(), context.now_ms):
             match command:
                 case cell_events.TakeFence() if fence is not None:
@@ -106,7 +111,7 @@
 @then("when it is empty it is ordered to decode, with the fence that the store gave")
 def ordered(context):
     del context.state.ready["waits"]
-    run(context, KV_KEPT_MS + 2 * LOOK_MS)
+    run(context, KV_KEPT_MS + 2 * EVALUATION_INTERVAL_MS)
     _, order = context.orders[0]
     assert (order.endpoint, order.role, order.fence) == ("p1", Role.DECODE, FENCE), order
 
@@ -210,7 +215,7 @@
         for action, looks in steps:
             act(state, action, context.now_ms)
             seen = len(context.orders)
-            run(context, looks * LOOK_MS)
+            run(context, looks * EVALUATION_INTERVAL_MS)
             roles = {ledger.role for ledger in state.ledgers.values()}
             assert roles == {Role.PREFILL, Role.DECODE}
             assert sum(ledger.changing for ledger in state.ledgers.values()) <= 1
