--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -48,7 +48,7 @@
     `sequence` numbers the orders under one fence.
     """
 
-    looked_ms: int = 0
+    evaluated_ms: int = 0
     prefill_use: Average = attrs.Factory(lambda: Average(0.0))
     decode_use: Average = attrs.Factory(lambda: Average(0.0))
     wanted: Role | None = None
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -52,9 +52,9 @@
 def plan_roles(state: CellState, now_ms: int) -> list[Command]:
     """Measures both roles, and starts a role change or advances the current one."""
     plan = state.roles
-    if not state.cell.pool.change_roles or now_ms - plan.looked_ms < EVALUATION_INTERVAL_MS:
+    if not state.cell.pool.change_roles or now_ms - plan.evaluated_ms < EVALUATION_INTERVAL_MS:
         return []
-    plan.looked_ms = now_ms
+    plan.evaluated_ms = now_ms
     split = _observe(state, now_ms)
     if plan.change is None and now_ms >= max(plan.rest_until_ms, state.grants_from_ms):
         _consider(state, split, now_ms)
