--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -19,7 +19,7 @@
 LEAST_USE = 0.92
 LEAST_GAIN = 1.25
 SUSTAIN_MS = 4000
-REST_MS = 5000
+COOLDOWN_MS = 5000
 DRAIN_LIMIT_MS = 20_000
 ORDER_LIMIT_MS = 10_000
 ASK_AGAIN_MS = 1000
@@ -214,5 +214,5 @@
     if change is not None and change.endpoint in state.ledgers:
         state.ledgers[change.endpoint].changing = False
     state.roles.change = None
-    state.roles.rest_until_ms = now_ms + REST_MS
+    state.roles.rest_until_ms = now_ms + COOLDOWN_MS
     state.roles.wanted_since_ms = now_ms
