--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -53,7 +53,7 @@
     decode_use: Average = attrs.Factory(lambda: Average(0.0))
     wanted: Role | None = None
     wanted_since_ms: int = 0
-    rest_until_ms: int = 0
+    cooldown_until_ms: int = 0
     change: RoleChange | None = None
     fence: int = 0
     fence_asked_ms: int | None = None
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -56,7 +56,7 @@
         return []
     plan.evaluated_ms = now_ms
     split = _observe(state, now_ms)
-    if plan.change is None and now_ms >= max(plan.rest_until_ms, state.grants_from_ms):
+    if plan.change is None and now_ms >= max(plan.cooldown_until_ms, state.grants_from_ms):
         _consider(state, split, now_ms)
     return _advance(state, plan.change, now_ms) if plan.change else []
 
@@ -214,5 +214,5 @@
     if change is not None and change.endpoint in state.ledgers:
         state.ledgers[change.endpoint].changing = False
     state.roles.change = None
-    state.roles.rest_until_ms = now_ms + COOLDOWN_MS
+    state.roles.cooldown_until_ms = now_ms + COOLDOWN_MS
     state.roles.wanted_since_ms = now_ms
