--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -17,7 +17,7 @@
 
 EVALUATION_INTERVAL_MS = 250
 MIN_UTILISATION = 0.92
-LEAST_GAIN = 1.25
+MIN_CAPACITY_GAIN = 1.25
 SUSTAIN_MS = 4000
 COOLDOWN_MS = 5000
 DRAIN_LIMIT_MS = 20_000
@@ -93,7 +93,7 @@
     now = split.capacity(0)
     gain = split.capacity(1 if to_prefill else -1) / now if now else float("inf")
     pressed = max(plan.prefill_use.value, plan.decode_use.value) >= MIN_UTILISATION
-    if not pressed or gain < LEAST_GAIN or plan.wanted is not wanted:
+    if not pressed or gain < MIN_CAPACITY_GAIN or plan.wanted is not wanted:
         plan.wanted = wanted
         plan.wanted_since_ms = now_ms
         return
