--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -49,7 +49,7 @@
     """
 
     evaluated_ms: int = 0
-    prefill_use: Average = attrs.Factory(lambda: Average(0.0))
+    prefill_utilisation: Average = attrs.Factory(lambda: Average(0.0))
     decode_use: Average = attrs.Factory(lambda: Average(0.0))
     wanted: Role | None = None
     wanted_since_ms: int = 0
