--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -50,7 +50,7 @@
 
     evaluated_ms: int = 0
     prefill_utilisation: Average = attrs.Factory(lambda: Average(0.0))
-    decode_use: Average = attrs.Factory(lambda: Average(0.0))
+    decode_utilisation: Average = attrs.Factory(lambda: Average(0.0))
     wanted: Role | None = None
     wanted_since_ms: int = 0
     cooldown_until_ms: int = 0
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -69,12 +69,12 @@
     running = sum(len(ledger.decodes) for ledger in decoders)
     plan = state.roles
     plan.prefill_utilisation.add(busy / len(prefillers) if prefillers else 1.0)
-    plan.decode_use.add(running / slots if slots else 1.0)
+    plan.decode_utilisation.add(running / slots if slots else 1.0)
     return _Split(
         len(prefillers),
         len(decoders),
         plan.prefill_utilisation.value * max(1, len(prefillers)),
-        plan.decode_use.value * max(1, len(decoders)),
+        plan.decode_utilisation.value * max(1, len(decoders)),
     )
 
 
@@ -88,11 +88,11 @@
     Chooses the least loaded endpoint of the other role, which keeps at least one open endpoint.
     """
     plan = state.roles
-    to_prefill = plan.prefill_utilisation.value >= plan.decode_use.value
+    to_prefill = plan.prefill_utilisation.value >= plan.decode_utilisation.value
     wanted = Role.PREFILL if to_prefill else Role.DECODE
     now = split.capacity(0)
     gain = split.capacity(1 if to_prefill else -1) / now if now else float("inf")
-    pressed = max(plan.prefill_utilisation.value, plan.decode_use.value) >= MIN_UTILISATION
+    pressed = max(plan.prefill_utilisation.value, plan.decode_utilisation.value) >= MIN_UTILISATION
     if not pressed or gain < MIN_CAPACITY_GAIN or plan.wanted is not wanted:
         plan.wanted = wanted
         plan.wanted_since_ms = now_ms
