--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class _Split:
+class _RoleLoad:
     """The endpoints of each role, and the load of each role as a number of busy endpoints."""
 
     prefills: int
@@ -61,7 +61,7 @@
     return _advance(state, plan.change, now_ms) if plan.change else []
 
 
-def _observe(state: CellState, now_ms: int) -> _Split:
+def _observe(state: CellState, now_ms: int) -> _RoleLoad:
     prefillers = [ledger for ledger in _of_role(state, Role.PREFILL) if ledger.open(now_ms)]
     decoders = [ledger for ledger in _of_role(state, Role.DECODE) if ledger.open(now_ms)]
     slots = sum(ledger.endpoint.slots for ledger in decoders)
@@ -70,7 +70,7 @@
     plan = state.roles
     plan.prefill_utilisation.add(busy / len(prefillers) if prefillers else 1.0)
     plan.decode_utilisation.add(running / slots if slots else 1.0)
-    return _Split(
+    return _RoleLoad(
         len(prefillers),
         len(decoders),
         plan.prefill_utilisation.value * max(1, len(prefillers)),
@@ -82,7 +82,7 @@
     return [ledger for ledger in state.ledgers.values() if ledger.role is role]
 
 
-def _consider(state: CellState, split: _Split, now_ms: int) -> None:
+def _consider(state: CellState, split: _RoleLoad, now_ms: int) -> None:
     """Starts a change once the same role has been short of an endpoint for `SUSTAIN_MS`.
 
     Chooses the least loaded endpoint of the other role, which keeps at least one open endpoint.
