--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -55,13 +55,13 @@
     if not state.cell.pool.change_roles or now_ms - plan.evaluated_ms < EVALUATION_INTERVAL_MS:
         return []
     plan.evaluated_ms = now_ms
-    split = _observe(state, now_ms)
+    split = _measure_load(state, now_ms)
     if plan.change is None and now_ms >= max(plan.cooldown_until_ms, state.grants_from_ms):
         _consider(state, split, now_ms)
     return _advance(state, plan.change, now_ms) if plan.change else []
 
 
-def _observe(state: CellState, now_ms: int) -> _RoleLoad:
+def _measure_load(state: CellState, now_ms: int) -> _RoleLoad:
     prefillers = [ledger for ledger in _of_role(state, Role.PREFILL) if ledger.open(now_ms)]
     decoders = [ledger for ledger in _of_role(state, Role.DECODE) if ledger.open(now_ms)]
     slots = sum(ledger.endpoint.slots for ledger in decoders)
