--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -57,7 +57,7 @@
     plan.evaluated_ms = now_ms
     split = _measure_load(state, now_ms)
     if plan.change is None and now_ms >= max(plan.cooldown_until_ms, state.grants_from_ms):
-        _consider(state, split, now_ms)
+        _start_change_if_needed(state, split, now_ms)
     return _advance(state, plan.change, now_ms) if plan.change else []
 
 
@@ -82,7 +82,7 @@
     return [ledger for ledger in state.ledgers.values() if ledger.role is role]
 
 
-def _consider(state: CellState, split: _RoleLoad, now_ms: int) -> None:
+def _start_change_if_needed(state: CellState, split: _RoleLoad, now_ms: int) -> None:
     """Starts a change once the same role has been short of an endpoint for `SUSTAIN_MS`.
 
     Chooses the least loaded endpoint of the other role, which keeps at least one open endpoint.
