--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -116,7 +116,7 @@
         return []
     if change.ordered_ms is not None:
         return _order(state, change, ledger, now_ms)
-    if not _is_empty(state, ledger):
+    if not _is_drained(state, ledger):
         change.empty_since_ms = None
     elif change.empty_since_ms is None:
         change.empty_since_ms = now_ms
@@ -130,7 +130,7 @@
     return _order(state, change, ledger, now_ms)
 
 
-def _is_empty(state: CellState, ledger: EndpointLedger) -> bool:
+def _is_drained(state: CellState, ledger: EndpointLedger) -> bool:
     """Returns True when the endpoint runs nothing and holds no KV result to be transferred."""
     name = ledger.endpoint.name
     waits = any(held.prefill_endpoint == name for held in state.ready.values())
