--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -22,7 +22,7 @@
 COOLDOWN_MS = 5000
 DRAIN_LIMIT_MS = 20_000
 ORDER_LIMIT_MS = 10_000
-ASK_AGAIN_MS = 1000
+RETRY_INTERVAL_MS = 1000
 # Reports lag: one that was sent before a role change must not undo the change.
 REPORT_SETTLE_MS = 3000
 # The longest pause of a process assumed between its check of the fence and its order.
@@ -150,7 +150,7 @@
 
 def _ask_fence(state: CellState, now_ms: int) -> list[Command]:
     plan = state.roles
-    if plan.fence_asked_ms is not None and now_ms - plan.fence_asked_ms < ASK_AGAIN_MS:
+    if plan.fence_asked_ms is not None and now_ms - plan.fence_asked_ms < RETRY_INTERVAL_MS:
         return []
     plan.fence_asked_ms = now_ms
     return [TakeFence(state.cell.name)]
@@ -160,7 +160,7 @@
     state: CellState, change: RoleChange, ledger: EndpointLedger, now_ms: int
 ) -> list[Command]:
     """Returns the order, or a repeat with the same sequence number until it is answered."""
-    if change.ordered_ms is not None and now_ms - change.ordered_ms < ASK_AGAIN_MS:
+    if change.ordered_ms is not None and now_ms - change.ordered_ms < RETRY_INTERVAL_MS:
         return []
     change.ordered_ms = now_ms
     plan = state.roles
--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -12,9 +12,9 @@
 from saffronworks.owner import cell_events, cells
 from saffronworks.owner.ledgers import Held, LoadReport, Stage
 from saffronworks.owner.roles import (
-    ASK_AGAIN_MS,
     EVALUATION_INTERVAL_MS,
     PAUSE_BOUND_MS,
+    RETRY_INTERVAL_MS,
     SUSTAIN_MS,
 )
 from saffronworks.ownership import Cell
@@ -170,7 +170,7 @@
 def answer_lost(context):
     context.first = context.orders[0][1]
     context.orders.clear()
-    run(context, 2 * ASK_AGAIN_MS)
+    run(context, 2 * RETRY_INTERVAL_MS)
 
 
 @then("the same order is sent again")
