--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -26,7 +26,7 @@
 # Reports lag: one that was sent before a role change must not undo the change.
 REPORT_SETTLE_MS = 3000
 # The longest pause of a process assumed between its check of the fence and its order.
-PAUSE_BOUND_MS = 2000
+MAX_PROCESS_PAUSE_MS = 2000
 
 
 @attrs.frozen
@@ -145,7 +145,7 @@
     """
     if ledger.endpoint.checks_fence:
         return True
-    return now_ms - state.roles.fence_taken_ms >= state.leases.lease_ms + PAUSE_BOUND_MS
+    return now_ms - state.roles.fence_taken_ms >= state.leases.lease_ms + MAX_PROCESS_PAUSE_MS
 
 
 def _ask_fence(state: CellState, now_ms: int) -> list[Command]:
--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -13,7 +13,7 @@
 from saffronworks.owner.ledgers import Held, LoadReport, Stage
 from saffronworks.owner.roles import (
     EVALUATION_INTERVAL_MS,
-    PAUSE_BOUND_MS,
+    MAX_PROCESS_PAUSE_MS,
     RETRY_INTERVAL_MS,
     SUSTAIN_MS,
 )
@@ -189,7 +189,7 @@
 @then("no order is sent before the lease and the longest pause have passed since the fence")
 def waits_out(context):
     at_ms, _ = context.orders[0]
-    assert at_ms - context.state.roles.fence_taken_ms >= LEASE_MS + PAUSE_BOUND_MS
+    assert at_ms - context.state.roles.fence_taken_ms >= LEASE_MS + MAX_PROCESS_PAUSE_MS
 
 
 @then("the order asks to look at the fence just before")
