--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -37,7 +37,12 @@
 )
 from saffronworks.owner.cell_states import CellState, new_cell, note_failure, set_cell
 from saffronworks.owner.reclaims import adopt_held, handle_streams, reclaim_node, renew_lease
-from saffronworks.owner.roles import handle_fence_taken, handle_role_reply, note_role, plan_roles
+from saffronworks.owner.roles import (
+    apply_reported_role,
+    handle_fence_taken,
+    handle_role_reply,
+    plan_roles,
+)
 
 __all__ = ["CellState", "new_cell", "predict_wait", "step"]
 
@@ -72,7 +77,7 @@
             ledger = state.ledgers[event.endpoint]
             ledger.apply_report(event.report, now_ms)
             ledger.circuit.answer(now_ms)
-            note_role(state, ledger, event.report, now_ms)
+            apply_reported_role(state, ledger, event.report, now_ms)
         case CacheReported() if event.endpoint in state.ledgers:
             state.ledgers[event.endpoint].apply_events(event.events)
         case CancelAcknowledged():
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -13,7 +13,7 @@
 from saffronworks.owner.cell_states import CellState, RoleChange
 from saffronworks.owner.ledgers import EndpointLedger, LoadReport
 
-__all__ = ["note_role", "plan_roles", "handle_fence_taken", "handle_role_reply"]
+__all__ = ["apply_reported_role", "plan_roles", "handle_fence_taken", "handle_role_reply"]
 
 EVALUATION_INTERVAL_MS = 250
 MIN_UTILISATION = 0.92
@@ -190,7 +190,9 @@
     _end_change(state, now_ms)
 
 
-def note_role(state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int) -> None:
+def apply_reported_role(
+    state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int
+) -> None:
     """Applies the reported role of an endpoint, which overrides the ledger in such pools."""
     if not state.cell.pool.change_roles or report.role not in tuple(Role):
         return
