--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -10,7 +10,7 @@
     Command,
     SendMessage,
 )
-from saffronworks.owner.cell_states import CellState, drop_held, note_failure
+from saffronworks.owner.cell_states import CellState, drop_held, record_failure
 from saffronworks.owner.ledgers import EndpointLedger, Held, Stage
 from saffronworks.owner.placement import (
     choose_decode,
@@ -38,7 +38,7 @@
     if held is None or held.key != event.key:
         return []
     if event.failure == "connect":
-        note_failure(state, event.refused_by, event.failure, now_ms)
+        record_failure(state, event.refused_by, event.failure, now_ms)
     if held.stage == Stage.DECODE:
         if event.refused_by != held.decode_endpoint:
             return [SendMessage(event.node, Assign(event.key, held.decode_endpoint, held.limit_ms))]
@@ -106,7 +106,7 @@
     if waiting is not None and waiting.ask.key.attempt <= event.key.attempt:
         del state.queue.items[request_id]
     for name in event.failed:
-        note_failure(state, name, event.failure, now_ms)
+        record_failure(state, name, event.failure, now_ms)
     held = state.held.get(request_id)
     if held is None or held.key != event.key:
         return []
--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -17,7 +17,7 @@
     "RolePlan",
     "drop_held",
     "new_cell",
-    "note_failure",
+    "record_failure",
     "open_decoders",
     "set_cell",
 ]
@@ -137,7 +137,7 @@
         ledger.decodes.pop(held.key.request_id, None)
 
 
-def note_failure(state: CellState, name: str, failure: str, now_ms: int) -> None:
+def record_failure(state: CellState, name: str, failure: str, now_ms: int) -> None:
     """Counts a failure of an endpoint, which may open its circuit.
 
     Failures in a row open no circuit that would leave less than half of a role's endpoints. A
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -35,7 +35,7 @@
     StreamsListed,
     Tick,
 )
-from saffronworks.owner.cell_states import CellState, new_cell, note_failure, set_cell
+from saffronworks.owner.cell_states import CellState, new_cell, record_failure, set_cell
 from saffronworks.owner.reclaims import adopt_held, handle_streams, reclaim_node, renew_lease
 from saffronworks.owner.roles import (
     apply_reported_role,
@@ -88,7 +88,7 @@
             state.cancels.forget_endpoint(event.endpoint)
             if event.endpoint in state.ledgers:
                 state.ledgers[event.endpoint].unacknowledged.clear()
-                note_failure(state, event.endpoint, "connect", now_ms)
+                record_failure(state, event.endpoint, "connect", now_ms)
         case EndpointsLeaving():
             for name, ledger in state.ledgers.items():
                 ledger.leaving = name in event.names
