--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -88,7 +88,7 @@
     held.decode_started_ms = now_ms + transfer
     ledger.decodes[held.key.request_id] = held
     ledger.circuit.take_trial(now_ms)
-    ledger.note_occupancy(now_ms)
+    ledger.record_occupancy(now_ms)
     size = float(held.prompt_tokens * state.cell.pool.kv_bytes_per_token)
     ledger.links.append((held.decode_started_ms, size))
     if held.prefill_endpoint in state.ledgers:
--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -136,7 +136,7 @@
         self.links = [entry for entry in self.links if entry[0] > now_ms]
         return self.endpoint.link_bytes_per_s / (len(self.links) + 1)
 
-    def note_occupancy(self, now_ms: int) -> None:
+    def record_occupancy(self, now_ms: int) -> None:
         """Records the number of decodes now, to compare with load reports that arrive later."""
         self.history.append((now_ms, len(self.decodes)))
         while len(self.history) > 1 and self.history[1][0] < now_ms - HISTORY_MS:
--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -330,11 +330,11 @@
 @given("a decode endpoint on which this owner has just placed three requests")
 def three_placed(context):
     context.ledger = EndpointLedger(Endpoint("d1", "127.0.0.1:2", "z", Role.DECODE, slots=8))
-    context.ledger.note_occupancy(0)
+    context.ledger.record_occupancy(0)
     for index in range(3):
         held = Held(RequestKey(f"r{index}", 1), "n", "m", "o", "decode", "p1", 1000)
         context.ledger.decodes[f"r{index}"] = held
-        context.ledger.note_occupancy(1000 + index)
+        context.ledger.record_occupancy(1000 + index)
 
 
 @when("reports come late, some are lost, and then two show work of another")
