--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -120,7 +120,7 @@
     wanted = {endpoint.name: endpoint for endpoint in cell.endpoints}
     for name, endpoint in wanted.items():
         if name in state.ledgers:
-            state.ledgers[name].take_endpoint(endpoint)
+            state.ledgers[name].update_endpoint(endpoint)
         else:
             state.ledgers[name] = EndpointLedger(endpoint)
     for name, ledger in state.ledgers.items():
--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -99,7 +99,7 @@
         if not self.prefill_rate.value:
             self.prefill_rate.value = self.endpoint.prefill_tokens_per_s
 
-    def take_endpoint(self, endpoint: Endpoint) -> None:
+    def update_endpoint(self, endpoint: Endpoint) -> None:
         """Applies a newer bundle entry; an ordered role stays unless the entry changes its role."""
         if endpoint.role is not self.endpoint.role:
             self.role = endpoint.role
