--- a/saffronworks/owner/placement.py
+++ b/saffronworks/owner/placement.py
@@ -18,7 +18,7 @@
     "transfer_ms",
 ]
 
-MOST_PREFILLS = 2
+MAX_PREFILLS = 2
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
 
 def takes_prefill(ledger: EndpointLedger, lead_ms: float, now_ms: int) -> bool:
     """Returns True when an open prefill endpoint is idle, or will be within `lead_ms`."""
-    if ledger.role is not Role.PREFILL or len(ledger.prefills) >= MOST_PREFILLS:
+    if ledger.role is not Role.PREFILL or len(ledger.prefills) >= MAX_PREFILLS:
         return False
     return ledger.open(now_ms) and ledger.backlog_end_ms(now_ms) <= now_ms + lead_ms
 
