--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -12,7 +12,7 @@
 __all__ = ["CacheEvents", "EndpointLedger", "Held", "LoadReport", "Stage"]
 
 HISTORY_MS = 5000
-FIRST_PACE_MS = 30.0
+INITIAL_PACE_MS = 30.0
 
 
 class Stage:
@@ -84,7 +84,7 @@
     prefixes: PrefixView = attrs.Factory(PrefixView)
     events_position: int = 0
     prefill_rate: Average = attrs.Factory(lambda: Average(0.0))
-    pace_ms: Average = attrs.Factory(lambda: Average(FIRST_PACE_MS))
+    pace_ms: Average = attrs.Factory(lambda: Average(INITIAL_PACE_MS))
     leaving: bool = False
     role: Role = attrs.field(init=False)
     role_set_ms: int = 0
