--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -22,7 +22,7 @@
     "set_cell",
 ]
 
-FIRST_HOLD_MS = 2000.0
+INITIAL_SLOT_TIME_MS = 2000.0
 LEAST_SHARE_IN = 0.5
 
 
@@ -85,7 +85,7 @@
     cancels: CancelList = attrs.Factory(CancelList)
     orphans: OrphanWatch = attrs.Factory(OrphanWatch)
     budget: RetryBudget = attrs.Factory(RetryBudget)
-    hold_ms: Average = attrs.Factory(lambda: Average(FIRST_HOLD_MS))
+    hold_ms: Average = attrs.Factory(lambda: Average(INITIAL_SLOT_TIME_MS))
     transfer_ms: Average = attrs.Factory(lambda: Average(0.0))
     roles: RolePlan = attrs.Factory(RolePlan)
     granted: int = 0
