--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -54,7 +54,7 @@
     if model is None:
         return [refuse(state, ask, "no such model here", LEAST_RETRY_AFTER_MS)]
     if state.queue.full():
-        return [refuse(state, ask, "queue full", int(state.hold_ms.value))]
+        return [refuse(state, ask, "queue full", int(state.slot_time_ms.value))]
     arrived_ms = now_ms - ask.waited_ms
     item = Waiting(ask, model, arrived_ms, _work_ms(state, ask, now_ms))
     item.first = ask.retry and state.budget.withdraw()
@@ -78,7 +78,7 @@
     free = expected_free(ledgers, state.held.values(), state.lengths, now_ms, now_ms)
     slots = sum(ledger.endpoint.slots for ledger in decoders)
     short = max(0.0, ahead + 1 - free)
-    decode_wait_ms = short * state.hold_ms.value / slots
+    decode_wait_ms = short * state.slot_time_ms.value / slots
     backlog_ms = min(ledger.backlog_end_ms(now_ms) for ledger in prefillers) - now_ms
     prefill_wait_ms = backlog_ms + ahead * work_ms / len(prefillers)
     return max(decode_wait_ms, prefill_wait_ms) + work_ms
--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -127,4 +127,4 @@
     if ledger is not None and event.output_tokens > 1:
         ledger.pace_ms.add(event.decode_ms / event.output_tokens)
     state.transfer_ms.add(float(event.transfer_ms))
-    state.hold_ms.add(float(event.decode_ms + event.transfer_ms))
+    state.slot_time_ms.add(float(event.decode_ms + event.transfer_ms))
--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -85,7 +85,7 @@
     cancels: CancelList = attrs.Factory(CancelList)
     orphans: OrphanWatch = attrs.Factory(OrphanWatch)
     budget: RetryBudget = attrs.Factory(RetryBudget)
-    hold_ms: Average = attrs.Factory(lambda: Average(INITIAL_SLOT_TIME_MS))
+    slot_time_ms: Average = attrs.Factory(lambda: Average(INITIAL_SLOT_TIME_MS))
     transfer_ms: Average = attrs.Factory(lambda: Average(0.0))
     roles: RolePlan = attrs.Factory(RolePlan)
     granted: int = 0
