--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -23,7 +23,7 @@
 ]
 
 INITIAL_SLOT_TIME_MS = 2000.0
-LEAST_SHARE_IN = 0.5
+MIN_OPEN_SHARE = 0.5
 
 
 @attrs.define
@@ -148,7 +148,7 @@
         return
     peers = [other for other in state.ledgers.values() if other.role is ledger.role]
     left = sum(1 for other in peers if other is not ledger and other.open(now_ms))
-    may_open = left >= LEAST_SHARE_IN * len(peers)
+    may_open = left >= MIN_OPEN_SHARE * len(peers)
     ledger.circuit.fail(failure, now_ms, may_open)
 
 
