--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -22,14 +22,14 @@
 from saffronworks.owner.queues import Waiting
 
 __all__ = [
-    "LEAST_RETRY_AFTER_MS",
+    "MIN_RETRY_AFTER_MS",
     "grant_waiting",
     "predict_wait",
     "refuse",
     "handle_ask",
 ]
 
-LEAST_RETRY_AFTER_MS = 500
+MIN_RETRY_AFTER_MS = 500
 
 
 def handle_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
@@ -52,7 +52,7 @@
         return []
     model = state.models.get(ask.model)
     if model is None:
-        return [refuse(state, ask, "no such model here", LEAST_RETRY_AFTER_MS)]
+        return [refuse(state, ask, "no such model here", MIN_RETRY_AFTER_MS)]
     if state.queue.full():
         return [refuse(state, ask, "queue full", int(state.slot_time_ms.value))]
     arrived_ms = now_ms - ask.waited_ms
@@ -61,7 +61,7 @@
     wait_ms = predict_wait(state, item, now_ms)
     if not ask.retry and wait_ms > item.patience_left_ms(now_ms):
         late_ms = int(wait_ms) - item.patience_left_ms(now_ms)
-        return [refuse(state, ask, "overload", max(LEAST_RETRY_AFTER_MS, late_ms))]
+        return [refuse(state, ask, "overload", max(MIN_RETRY_AFTER_MS, late_ms))]
     state.queue.items[request_id] = item
     return []
 
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -13,7 +13,7 @@
     Release,
 )
 from saffronworks.owner.admissions import (
-    LEAST_RETRY_AFTER_MS,
+    MIN_RETRY_AFTER_MS,
     grant_waiting,
     handle_ask,
     predict_wait,
@@ -108,7 +108,7 @@
     for request_id, waiting in list(state.queue.items.items()):
         if not waiting.ask.retry and waiting.patience_left_ms(now_ms) <= 0:
             del state.queue.items[request_id]
-            retry_after_ms = max(LEAST_RETRY_AFTER_MS, int(state.slot_time_ms.value))
+            retry_after_ms = max(MIN_RETRY_AFTER_MS, int(state.slot_time_ms.value))
             commands.append(refuse(state, waiting.ask, "overload", retry_after_ms))
     for endpoint, key in state.cancels.take_due(now_ms):
         commands.append(CancelStream(endpoint, key))
