--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -22,7 +22,7 @@
     "handle_release",
 ]
 
-LEAST_TRANSFER_LIMIT_MS = 800
+MIN_TRANSFER_LIMIT_MS = 800
 
 
 TRANSFER_LIMIT_FACTOR = 4
@@ -94,7 +94,7 @@
     if held.prefill_endpoint in state.ledgers:
         state.ledgers[held.prefill_endpoint].links.append((held.decode_started_ms, size))
     usual_ms = max(transfer, state.transfer_ms.value)
-    held.limit_ms = int(LEAST_TRANSFER_LIMIT_MS + TRANSFER_LIMIT_FACTOR * usual_ms)
+    held.limit_ms = int(MIN_TRANSFER_LIMIT_MS + TRANSFER_LIMIT_FACTOR * usual_ms)
     return SendMessage(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
 
 
