--- a/saffronworks/owner/predictors.py
+++ b/saffronworks/owner/predictors.py
@@ -9,7 +9,7 @@
 SMOOTHING = 0.15
 BUCKET_EDGES = tuple(int(2 ** (step / 2)) for step in range(4, 31))
 PRIOR_COUNT = 8.0
-FORGET_AT_COUNT = 100.0
+HALVE_AT_COUNT = 100.0
 PREFIXES_KEPT = 128
 
 
@@ -42,7 +42,7 @@
         self.total += 1.0
         for index in range(bucket):
             self.above[index] += 1.0
-        if self.total >= FORGET_AT_COUNT:
+        if self.total >= HALVE_AT_COUNT:
             self.counts = [count / 2 for count in self.counts]
             self.above = [count / 2 for count in self.above]
             self.total /= 2
