--- a/saffronworks/owner/leases.py
+++ b/saffronworks/owner/leases.py
@@ -7,7 +7,7 @@
 
 __all__ = ["CancelList", "Lease", "LeaseTable", "OrphanWatch", "hash_key"]
 
-CANCEL_AGAIN_MS = 500
+CANCEL_RETRY_MS = 500
 ORPHAN_GRACE_MS = 3000
 MISMATCHES_TO_ASK = 2
 
@@ -93,7 +93,7 @@
         """Returns the cancels to send now, and schedules each to be sent again."""
         due = [entry for entry, at_ms in self.due_ms.items() if at_ms <= now_ms]
         for entry in due:
-            self.due_ms[entry] = now_ms + CANCEL_AGAIN_MS
+            self.due_ms[entry] = now_ms + CANCEL_RETRY_MS
         return due
 
 
