--- a/saffronworks/owner/leases.py
+++ b/saffronworks/owner/leases.py
@@ -9,7 +9,7 @@
 
 CANCEL_RETRY_MS = 500
 ORPHAN_GRACE_MS = 3000
-MISMATCHES_TO_ASK = 2
+MISMATCHES_BEFORE_QUERY = 2
 
 
 def hash_key(key: RequestKey) -> int:
--- a/saffronworks/owner/reclaims.py
+++ b/saffronworks/owner/reclaims.py
@@ -13,7 +13,7 @@
     StreamsListed,
 )
 from saffronworks.owner.cell_states import CellState, drop_held
-from saffronworks.owner.leases import MISMATCHES_TO_ASK, hash_key
+from saffronworks.owner.leases import MISMATCHES_BEFORE_QUERY, hash_key
 from saffronworks.owner.ledgers import Held, Stage
 
 __all__ = [
@@ -45,7 +45,7 @@
         return commands
     lease.mismatches += 1
     rebuilding = now_ms < state.grants_from_ms
-    if rebuilding or lease.mismatches >= MISMATCHES_TO_ASK:
+    if rebuilding or lease.mismatches >= MISMATCHES_BEFORE_QUERY:
         commands.append(SendMessage(event.node, HeldQuery(state.cell.name)))
     return commands
 
