--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -45,7 +45,7 @@
         state.ledgers[held.decode_endpoint].decodes.pop(event.key.request_id, None)
         held.decode_endpoint = ""
     if held.stage == Stage.PREFILL:
-        _learn_prefill(state, held, event)
+        _record_prefill(state, held, event)
     held.stage = Stage.READY
     state.ready[event.key.request_id] = held
     if event.refused_by:
@@ -54,7 +54,7 @@
     return []
 
 
-def _learn_prefill(state: CellState, held: Held, event: Prefilled) -> None:
+def _record_prefill(state: CellState, held: Held, event: Prefilled) -> None:
     ledger = state.ledgers.get(held.prefill_endpoint)
     if ledger is None:
         return
