--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -112,11 +112,11 @@
         return []
     drop_held(state, held)
     if event.finished:
-        _learn_finish(state, held, event, now_ms)
+        _record_finish(state, held, event, now_ms)
     return []
 
 
-def _learn_finish(state: CellState, held: Held, event: Release, now_ms: int) -> None:
+def _record_finish(state: CellState, held: Held, event: Release, now_ms: int) -> None:
     state.budget.deposit()
     if held.model in state.lengths:
         state.lengths[held.model].add(event.output_tokens)
