--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -7,7 +7,7 @@
 from saffronworks.owner.leases import CancelList, LeaseTable, OrphanWatch
 from saffronworks.owner.ledgers import EndpointLedger, Held
 from saffronworks.owner.policies import Policy
-from saffronworks.owner.predictors import Average, LengthTable
+from saffronworks.owner.predictors import Average, LengthHistogram
 from saffronworks.owner.queues import WaitQueue
 from saffronworks.ownership import Cell
 
@@ -77,7 +77,7 @@
     grants_from_ms: int
     ledgers: dict[str, EndpointLedger] = attrs.Factory(dict)
     models: dict[str, Model] = attrs.Factory(dict)
-    lengths: dict[str, LengthTable] = attrs.Factory(dict)
+    lengths: dict[str, LengthHistogram] = attrs.Factory(dict)
     queue: WaitQueue = attrs.Factory(WaitQueue)
     held: dict[str, Held] = attrs.Factory(dict)
     ready: dict[str, Held] = attrs.Factory(dict)
@@ -116,7 +116,7 @@
     state.cell = cell
     state.models = {model.name: model for model in cell.models}
     for name in state.models:
-        state.lengths.setdefault(name, LengthTable())
+        state.lengths.setdefault(name, LengthHistogram())
     wanted = {endpoint.name: endpoint for endpoint in cell.endpoints}
     for name, endpoint in wanted.items():
         if name in state.ledgers:
--- a/saffronworks/owner/placement.py
+++ b/saffronworks/owner/placement.py
@@ -7,7 +7,7 @@
 from saffronworks.bundles import Pool, Role
 from saffronworks.messages import Ask
 from saffronworks.owner.ledgers import EndpointLedger, Held, Stage
-from saffronworks.owner.predictors import LengthTable
+from saffronworks.owner.predictors import LengthHistogram
 
 __all__ = [
     "PrefillChoice",
@@ -79,7 +79,7 @@
 def expected_free(
     ledgers: Iterable[EndpointLedger],
     held: Iterable[Held],
-    lengths: Mapping[str, LengthTable],
+    lengths: Mapping[str, LengthHistogram],
     then_ms: float,
     now_ms: int,
 ) -> float:
@@ -94,7 +94,7 @@
 
 
 def _expected_running(
-    ledger: EndpointLedger, lengths: Mapping[str, LengthTable], then_ms: float, now_ms: int
+    ledger: EndpointLedger, lengths: Mapping[str, LengthHistogram], then_ms: float, now_ms: int
 ) -> float:
     if then_ms <= now_ms:
         return float(len(ledger.decodes))
--- a/saffronworks/owner/predictors.py
+++ b/saffronworks/owner/predictors.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-__all__ = ["Average", "LengthTable", "PrefixView"]
+__all__ = ["Average", "LengthHistogram", "PrefixView"]
 
 SMOOTHING = 0.15
 BUCKET_EDGES = tuple(int(2 ** (step / 2)) for step in range(4, 31))
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class LengthTable:
+class LengthHistogram:
     """A histogram of the output lengths of one model, with bucket edges at powers of sqrt 2.
 
     `above[i]` is the sum of the counts in the buckets after `i`.
--- a/saffronworks/tests/features/steps/queues_steps.py
+++ b/saffronworks/tests/features/steps/queues_steps.py
@@ -8,7 +8,7 @@
 
 from saffronworks.bundles import Endpoint, Role
 from saffronworks.owner.ledgers import CacheEvents, EndpointLedger
-from saffronworks.owner.predictors import BUCKET_EDGES, PRIOR_COUNT, LengthTable
+from saffronworks.owner.predictors import BUCKET_EDGES, PRIOR_COUNT, LengthHistogram
 from saffronworks.owner.queues import Waiting, WaitQueue
 from saffronworks.standins.standin_models import PrefixCache
 
@@ -126,7 +126,7 @@
 def lengths_agree(context):
     @forall(context.lengths)
     def run(lengths):
-        table = LengthTable()
+        table = LengthHistogram()
         for tokens in lengths:
             table.add(tokens)
         last = 1.0
