--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -136,13 +136,13 @@
         for name, cell in self.known.items():
             mine = members.owner_of(name) == kernel.node
             if mine and name not in self.states:
-                self._take_up(kernel, tasks, cell)
+                self._acquire_cell(kernel, tasks, cell)
             elif not mine and name in self.states:
                 self._lay_down(kernel, name)
         for name in [name for name in self.states if name not in self.known]:
             self._lay_down(kernel, name)
 
-    def _take_up(self, kernel: Kernel, tasks: TaskGroup, cell: Cell) -> None:
+    def _acquire_cell(self, kernel: Kernel, tasks: TaskGroup, cell: Cell) -> None:
         rebuild_ms = self._settings.heartbeat_ms + 100
         state = cells.new_cell(
             cell, kernel.node, self._settings.lease_ms, rebuild_ms, kernel.now_ms()
