--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -138,9 +138,9 @@
             if mine and name not in self.states:
                 self._acquire_cell(kernel, tasks, cell)
             elif not mine and name in self.states:
-                self._lay_down(kernel, name)
+                self._release_cell(kernel, name)
         for name in [name for name in self.states if name not in self.known]:
-            self._lay_down(kernel, name)
+            self._release_cell(kernel, name)
 
     def _acquire_cell(self, kernel: Kernel, tasks: TaskGroup, cell: Cell) -> None:
         rebuild_ms = self._settings.heartbeat_ms + 100
@@ -154,7 +154,7 @@
         tasks.start_soon(self._poll, kernel, cell.name, scope)
         logger.info("event=cell_taken_up node=%s cell=%s", kernel.node, cell.name)
 
-    def _lay_down(self, kernel: Kernel, name: str) -> None:
+    def _release_cell(self, kernel: Kernel, name: str) -> None:
         del self.states[name]
         self._pollers.pop(name).cancel()
         logger.info("event=cell_laid_down node=%s cell=%s", kernel.node, name)
