--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -104,7 +104,7 @@
             case InForce():
                 self._take_document(kernel, tasks, message)
             case MemberChanged():
-                self._settle(kernel, tasks)
+                self._update_owned_cells(kernel, tasks)
 
     def _note_cancel(self, kernel: Kernel, done: CancelDone) -> None:
         if done.gone:
@@ -128,9 +128,9 @@
             self.known.update(found)
             for name in found.keys() & self.states.keys():
                 self._step(kernel, name, cell_events.CellChanged(found[name]))
-            self._settle(kernel, tasks)
+            self._update_owned_cells(kernel, tasks)
 
-    def _settle(self, kernel: Kernel, tasks: TaskGroup) -> None:
+    def _update_owned_cells(self, kernel: Kernel, tasks: TaskGroup) -> None:
         """Starts the schedulers of newly owned cells, and stops those of cells no longer owned."""
         members: MemberService = kernel.find("members")
         for name, cell in self.known.items():
