--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -30,7 +30,7 @@
 
 BUNDLE_PREFIX = f"{CONFIG_PREFIX}bundles/"
 TICK_S = 0.02
-LOOK_EVERY_S = 0.25
+IDLE_TICK_S = 0.25
 FENCE_REFUSED = 412
 
 
@@ -88,7 +88,7 @@
         while True:
             kernel.post(self.name, _TickAll())
             busy = any(state.queue.items or state.held for state in self.states.values())
-            await anyio.sleep(TICK_S if busy else LOOK_EVERY_S)
+            await anyio.sleep(TICK_S if busy else IDLE_TICK_S)
 
     def _take(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
         match message:
