--- a/saffronworks/owner/cell_states.py
+++ b/saffronworks/owner/cell_states.py
@@ -67,7 +67,7 @@
 
     `grants_from_ms` is the end of the rebuild of a new owner. `held` has the granted attempts
     and `ready` those whose KV result waits for a decode slot, by request id. `ended` has the
-    last ended attempt of a request and its time. `hold_ms` is the mean time that an attempt
+    last ended attempt of a request and its time. `slot_time_ms` is the mean time that an attempt
     occupies a decode slot.
     """
 
