--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -152,12 +152,12 @@
         scope = anyio.CancelScope()
         self._pollers[cell.name] = scope
         tasks.start_soon(self._poll, kernel, cell.name, scope)
-        logger.info("event=cell_taken_up node=%s cell=%s", kernel.node, cell.name)
+        logger.info("event=cell_acquired node=%s cell=%s", kernel.node, cell.name)
 
     def _release_cell(self, kernel: Kernel, name: str) -> None:
         del self.states[name]
         self._pollers.pop(name).cancel()
-        logger.info("event=cell_laid_down node=%s cell=%s", kernel.node, name)
+        logger.info("event=cell_released node=%s cell=%s", kernel.node, name)
 
     def _step(self, kernel: Kernel, name: str, event: cell_events.Event) -> None:
         state = self.states.get(name)
