--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the core of a cell's owner."""
+"""Steps for the scheduler of a cell: grants, assignments, leases and reclaim."""
 
 from unittest import mock
 
@@ -92,7 +92,7 @@
     assert not cancels(context.commands)
 
 
-@when("its node is silent past the lease")
+@when("its node sends no heartbeat until its lease has lapsed")
 def silent(context):
     context.at_ms = LEASE_MS + 100
     context.commands = cells.step(context.state, cell_events.Tick(), context.at_ms)
@@ -107,7 +107,7 @@
     context.commands = cells.step(context.state, cell_events.Tick(), context.at_ms)
 
 
-@then("its decode stream is cancelled again and again until acknowledged")
+@then("the cancel of its decode stream is repeated until acknowledged")
 def cancelled_again(context):
     assert ("d1", context.key) in cancels(context.commands)
     again = cells.step(context.state, cell_events.Tick(), context.at_ms + 1000)
@@ -118,7 +118,7 @@
     assert not cancels(cells.step(context.state, cell_events.Tick(), context.at_ms + 5000))
 
 
-@then("its slot is not free before the engine acknowledges")
+@then("its slot is not free before the engine acknowledges the cancel")
 def not_free(context):
     ledger = context.state.ledgers["d1"]
     assert ledger.free_slots(context.at_ms) == 1
@@ -140,7 +140,7 @@
     assert not context.state.held
 
 
-@when("the same ask arrives again")
+@when("the same ask arrives a second time")
 def same_ask(context):
     context.again = cells.step(context.state, make_ask(), 400)
 
@@ -156,7 +156,7 @@
     context.state = make_state(slots=2, rebuild_ms=500)
 
 
-@when("the entry node lists what it holds")
+@when("the entry node lists its held attempts")
 def list_held(context):
     held = tuple(HeldKey(RequestKey(f"h{i}", 1), "d1", "decode", "o", 3) for i in range(2))
     context.commands = cells.step(context.state, make_ask(), 100)
@@ -195,7 +195,7 @@
 
 @attrs.define
 class CellWorld:
-    """Entry nodes in small; messages either way may be lost, and are sent again by ticks."""
+    """A model of the entry nodes; messages either way may be lost, and ticks send them again."""
 
     state: cells.CellState
     now_ms: int = 0
@@ -251,7 +251,7 @@
         self.feed(Release(key, "n", "b/p/0", finished=True, output_tokens=9, decode_ms=300))
 
 
-@given("any order of asks, ends, losses and ticks")
+@given("any order of asks, releases, lost messages and ticks")
 def any_order(context):
     context.worlds = []
 
@@ -274,7 +274,7 @@
         assert len(world.assigned) <= 2
 
 
-@then("when all is released nothing is held")
+@then("when all attempts are released none is held")
 def drains(context):
     for world in context.worlds:
         for key in list(world.waiting):
@@ -294,13 +294,13 @@
     return cells.new_cell(cell, "owner", LEASE_MS, 0, 0)
 
 
-@given("a cell with two decode endpoints of which one is leaving")
+@given("a cell with two decode endpoints of which one is draining")
 def one_leaving(context):
     context.state = wide_state()
     cells.step(context.state, cell_events.EndpointsLeaving(frozenset({"d1"})), 0)
 
 
-@when("more requests come than the other has slots")
+@when("more requests arrive than the other endpoint has slots")
 def too_many(context):
     context.assigned = []
     for index in range(5):
@@ -310,24 +310,24 @@
             context.assigned += [assign.endpoint for assign in told(commands, Assign)]
 
 
-@then("the one that is leaving is assigned nothing")
+@then("the draining endpoint is assigned nothing")
 def only_the_other(context):
     assert context.assigned == ["d2", "d2"], context.assigned
 
 
-@given("a cell with two prefill endpoints that are alike")
+@given("a cell with two equal prefill endpoints")
 def two_alike(context):
     context.make_state = wide_state
 
 
-@then("a request that names one as failed is granted the other")
+@then("a request that one of them failed is granted the other")
 def granted_other(context):
     for failed, other in (("p1", "p2"), ("p2", "p1")):
         ask = attrs.evolve(make_ask(), avoid=(failed,))
         assert told(cells.step(context.make_state(), ask, 0), Grant)[0].endpoint == other
 
 
-@given("a decode endpoint on which this owner has just placed three requests")
+@given("a decode endpoint to which this owner has just assigned three requests")
 def three_placed(context):
     context.ledger = EndpointLedger(Endpoint("d1", "127.0.0.1:2", "z", Role.DECODE, slots=8))
     context.ledger.record_occupancy(0)
@@ -337,16 +337,16 @@
         context.ledger.record_occupancy(1000 + index)
 
 
-@when("reports come late, some are lost, and then two show work of another")
+@when("reports are late, some are lost, and then two in a row show decodes of another owner")
 def reports_come(context):
     context.foreign = []
-    # Each report is 1 s old; those of 1500 and 1750 ms are lost.
+    # Each report describes the load of 1 s before; the reports at 1500 and 1750 ms are lost.
     for now_ms, running in ((1250, 0), (2000, 0), (2250, 3), (2500, 3), (2750, 5), (3000, 5)):
         context.ledger.apply_report(LoadReport(running, age_ms=1000), now_ms)
         context.foreign.append(context.ledger.foreign)
 
 
-@then("own work was never counted twice, and the other's is")
+@then("only the decodes of the other owner are counted as foreign")
 def foreign_right(context):
     assert context.foreign == [0, 0, 0, 0, 0, 2], context.foreign
     assert context.ledger.free_slots(3000) == 3
@@ -361,7 +361,7 @@
     assert len(context.state.queue.items) > 20, len(context.state.queue.items)
 
 
-@when("asks come again and time passes")
+@when("asks are repeated and ticks pass")
 def asks_again(context):
     with mock.patch.object(WaitQueue, "select", autospec=True) as select:
         for now_ms in range(100, 300, 20):
@@ -376,7 +376,7 @@
     assert context.searches == 0, context.searches
 
 
-@given("a cell whose requests all fail")
+@given("a cell whose requests have all failed and are retried")
 def all_fail(context):
     state = context.state = make_state(slots=1)
     context.refused = []
@@ -387,13 +387,13 @@
         context.refused += told(commands, Refusal)
 
 
-@then("the retries that go before others are bounded by the budget")
+@then("the retries that go first are bounded by the retry budget")
 def bounded(context):
     first = [item for item in context.state.queue.items.values() if item.first]
     assert len(first) + context.state.granted <= BUDGET_FLOOR + 1, len(first)
 
 
-@then("none of the others is given up, and the queue stays bounded")
+@then("the other retries wait, and are refused only when the queue is full")
 def others_wait(context):
     assert len(context.state.queue.items) == QUEUE_LENGTH
     assert {refusal.reason for refusal in context.refused} == {"queue full"}
--- a/saffronworks/tests/features/steps/queues_steps.py
+++ b/saffronworks/tests/features/steps/queues_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what a cell's owner knows and orders: its queue, caches, lengths."""
+"""Steps for the wait queue, the prefix cache view and the length histogram of a cell."""
 
 import attrs
 from behave import given, then
@@ -70,7 +70,7 @@
     context.queue.items["quiet"] = waiting_item("quiet", "quiet", arrived_ms=90)
 
 
-@then("the other organisation is served within the first few")
+@then("the other organisation is served within the first three")
 def served_soon(context):
     assert "quiet" in serve_all(context.queue, 20)[:3]
 
@@ -96,7 +96,7 @@
     context.uses = st.lists(st.one_of(st.integers(0, 200), st.just("poll")), max_size=200)
 
 
-@then("after each poll the owner believes in no prefix that the endpoint lacks")
+@then("after each poll the owner expects no prefix that the endpoint has evicted")
 def believes_right(context):
     polls = []
 
@@ -122,7 +122,7 @@
     context.lengths = st.lists(st.integers(1, 900), min_size=1, max_size=60)
 
 
-@then("the share of longer ones is near a naive count and never grows with the length")
+@then("the estimated share of longer answers matches a naive count and never grows with the length")
 def lengths_agree(context):
     @forall(context.lengths)
     def run(lengths):
