--- a/saffronworks/tests/features/circuits.feature
+++ b/saffronworks/tests/features/circuits.feature
@@ -1,19 +1,19 @@
-Feature: endpoints that fail stay away, and come back with care
+Feature: circuits keep failed endpoints out of use and readmit them gradually
 
-  Scenario: an endpoint that failed comes back by one trial, then by slow start
+  Scenario: a failed endpoint is readmitted by a single trial, then by slow start
     Given a decode endpoint whose connection was refused
-    Then it takes nothing until its circuit half opens, and then a single trial
-    And a trial whose end is never heard of makes room for another one
-    And after a success its slots come back bit by bit
+    Then it takes no work until its circuit is half open, and then a single trial
+    And a trial without a recorded outcome times out and allows another one
+    And after a success its usable slots grow to all of them by slow start
 
-  Scenario: failures in a row put out half of a role's endpoints at most, but all that are gone
+  Scenario: failures in a row open at most half of the circuits of a role, refused connections all
     Given a cell with four decode endpoints
-    When all of them fail again and again
+    When all of them fail repeatedly
     Then two of them still take work
-    And when their connections are refused none does
+    And when their connections are refused none of them takes work
 
-  Scenario: an endpoint that was unreachable is back as soon as it answers a report
+  Scenario: an unreachable endpoint is readmitted when it answers a load report
     Given a cell whose decode endpoint refused a connection
-    When it answers a load report after its circuit's time
+    When it answers a load report after the open time of its circuit
     Then it takes work again by slow start
-    And when it refuses again in its slow start it stays away twice as long
+    And a refused connection in slow start doubles the open time of its circuit
--- a/saffronworks/tests/features/steps/circuits_steps.py
+++ b/saffronworks/tests/features/steps/circuits_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on circuits: endpoints that fail, stay away, and come back."""
+"""Steps for circuits: how failed endpoints are taken out of use and readmitted."""
 
 from behave import given, then, when
 from cells_steps import LEASE_MS, MODEL, make_state
@@ -17,7 +17,7 @@
     context.ledger.circuit.fail("connect", 0)
 
 
-@then("it takes nothing until its circuit half opens, and then a single trial")
+@then("it takes no work until its circuit is half open, and then a single trial")
 def single_trial(context):
     ledger = context.ledger
     assert ledger.free_slots(FIRST_OPEN_MS - 1) == 0
@@ -26,12 +26,12 @@
     assert ledger.free_slots(FIRST_OPEN_MS + 1) == 0
 
 
-@then("a trial whose end is never heard of makes room for another one")
+@then("a trial without a recorded outcome times out and allows another one")
 def another_trial(context):
     assert context.ledger.free_slots(FIRST_OPEN_MS + TRIAL_MS) == 1
 
 
-@then("after a success its slots come back bit by bit")
+@then("after a success its usable slots grow to all of them by slow start")
 def bit_by_bit(context):
     context.ledger.circuit.succeed(10_000)
     free = [context.ledger.free_slots(10_000 + at_ms) for at_ms in (0, SLOW_START_MS // 2)]
@@ -48,7 +48,7 @@
     assert context.ledger.free_slots(FIRST_OPEN_MS - 1) == 0
 
 
-@when("it answers a load report after its circuit's time")
+@when("it answers a load report after the open time of its circuit")
 def answers_report(context):
     cells.step(context.state, cell_events.Reported("d1", LoadReport(0, 100)), FIRST_OPEN_MS)
 
@@ -60,7 +60,7 @@
     assert free == [1, 5], free
 
 
-@then("when it refuses again in its slow start it stays away twice as long")
+@then("a refused connection in slow start doubles the open time of its circuit")
 def flapping(context):
     cells.step(context.state, cell_events.EndpointGone("d1"), FIRST_OPEN_MS)
     for at_ms, free in ((2 * FIRST_OPEN_MS, 0), (3 * FIRST_OPEN_MS, 1)):
@@ -78,7 +78,7 @@
     context.names = names
 
 
-@when("all of them fail again and again")
+@when("all of them fail repeatedly")
 def all_fail(context):
     for turn in range(20):
         key = RequestKey(f"r{turn}", 1)
@@ -92,7 +92,7 @@
     assert [name for name in context.names if ledgers[name].open(10)] == ["d3", "d4"]
 
 
-@then("when their connections are refused none does")
+@then("when their connections are refused none of them takes work")
 def none_open(context):
     for name in context.names:
         cells.step(context.state, cell_events.EndpointGone(name), 20)
