--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios of role changes, on the core of a cell's owner and on a small site."""
+"""Steps for role changes, in the scheduler of a cell and on a small site."""
 
 import anyio
 from behave import given, then, when
@@ -61,7 +61,7 @@
 
 
 def run(context, for_ms, fence=FENCE):
-    """Let time pass by ticks; the store gives `fence` when it is asked. Collects the orders."""
+    """Runs ticks for `for_ms`, answers fence requests with `fence`, and collects the orders."""
     state = context.state
     until_ms = context.now_ms + for_ms
     while context.now_ms < until_ms:
@@ -89,18 +89,18 @@
     pressed(context, checks_fence=False)
 
 
-@when("that lasts while a KV result waits at one of them")
+@when("the load lasts while a KV result waits at one of them")
 def lasts_waiting(context):
     hold(context.state, "waits", Stage.READY, "p1")
     run(context, 3 * SUSTAIN_MS)
 
 
-@when("that lasts")
+@when("the load lasts")
 def lasts(context):
     run(context, 4 * SUSTAIN_MS)
 
 
-@then("one prefill endpoint gets nothing new and no order while its KV result waits")
+@then("that prefill endpoint gets neither new work nor an order while its KV result waits")
 def emptied_first(context):
     ledgers = context.state.ledgers.values()
     assert [ledger.endpoint.name for ledger in ledgers if ledger.changing] == ["p1"]
@@ -108,7 +108,7 @@
     assert not context.orders
 
 
-@then("when it is empty it is ordered to decode, with the fence that the store gave")
+@then("once drained it gets an order to decode, with the fence that the store issued")
 def ordered(context):
     del context.state.ready["waits"]
     run(context, KV_KEPT_MS + 2 * EVALUATION_INTERVAL_MS)
@@ -116,7 +116,7 @@
     assert (order.endpoint, order.role, order.fence) == ("p1", Role.DECODE, FENCE), order
 
 
-@then("only when it accepts does it take decodes")
+@then("it takes decodes only after it has accepted the order")
 def accepts(context):
     ledger = context.state.ledgers["p1"]
     assert ledger.role is Role.PREFILL
@@ -125,9 +125,9 @@
     assert ledger.free_slots(context.now_ms) == 2
 
 
-@when("that lasts for less than the time that a change needs")
+@when("the load lasts for less time than a change needs")
 def short_peak(context):
-    # The averages take about SUSTAIN_MS to show the peak at all.
+    # The moving averages need about SUSTAIN_MS to reach the threshold, hence the longer run.
     run(context, SUSTAIN_MS + SUSTAIN_MS // 2)
     context.state.ledgers["d1"].decodes.clear()
     run(context, 5 * SUSTAIN_MS)
@@ -146,12 +146,12 @@
     assert context.orders
 
 
-@when("the endpoint refuses since it knows a higher fence")
+@when("the endpoint rejects the order because of a higher fence")
 def refuses(context):
     cells.step(context.state, cell_events.RoleOrdered("p1", False), context.now_ms)
 
 
-@then("the endpoint keeps its role and takes work again")
+@then("the endpoint keeps its role and gets new work")
 def keeps_role(context):
     ledger = context.state.ledgers["p1"]
     assert ledger.role is Role.PREFILL
@@ -166,7 +166,7 @@
     assert context.fences == 2
 
 
-@when("the answer is lost")
+@when("the reply to the order is lost")
 def answer_lost(context):
     context.first = context.orders[0][1]
     context.orders.clear()
@@ -186,13 +186,13 @@
     assert context.state.roles.change is None
 
 
-@then("no order is sent before the lease and the longest pause have passed since the fence")
+@then("no order is sent before the lease and the longest pause after the fence have passed")
 def waits_out(context):
     at_ms, _ = context.orders[0]
     assert at_ms - context.state.roles.fence_taken_ms >= LEASE_MS + MAX_PROCESS_PAUSE_MS
 
 
-@then("the order asks to look at the fence just before")
+@then("the order asks for a check of the fence just before it is sent")
 def rechecks(context):
     assert context.orders[0][1].recheck
 
@@ -206,7 +206,7 @@
 )
 
 
-@then("over any load, answers, losses and owners the promises of a change hold")
+@then("over any load and replies both roles keep an endpoint and only idle ones get orders")
 def promises(context):
     @forall(STEPS, st.booleans())
     def check(steps, checks_fence):
