--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -92,8 +92,10 @@
     wanted = Role.PREFILL if to_prefill else Role.DECODE
     now = split.capacity(0)
     gain = split.capacity(1 if to_prefill else -1) / now if now else float("inf")
-    pressed = max(plan.prefill_utilisation.value, plan.decode_utilisation.value) >= MIN_UTILISATION
-    if not pressed or gain < MIN_CAPACITY_GAIN or plan.wanted is not wanted:
+    saturated = (
+        max(plan.prefill_utilisation.value, plan.decode_utilisation.value) >= MIN_UTILISATION
+    )
+    if not saturated or gain < MIN_CAPACITY_GAIN or plan.wanted is not wanted:
         plan.wanted = wanted
         plan.wanted_since_ms = now_ms
         return
