--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -54,7 +54,7 @@
     return Prefilled(key, node, "b/p/0", 5, 0, 800)
 
 
-def told(commands, kind):
+def sent_messages(commands, kind):
     return [
         c.message
         for c in commands
@@ -70,14 +70,14 @@
 def granted(context):
     context.state = make_state()
     context.commands = cells.step(context.state, make_ask(), 0)
-    assert told(context.commands, Grant)
+    assert sent_messages(context.commands, Grant)
 
 
 @given("a cell with a request that decodes")
 def decoding(context):
     granted(context)
     context.key = RequestKey("r", 1)
-    assert told(cells.step(context.state, make_prefilled(context.key), 10), Assign)
+    assert sent_messages(cells.step(context.state, make_prefilled(context.key), 10), Assign)
 
 
 @when("the first heartbeat of its node arrives")
@@ -135,7 +135,7 @@
 
 @then("nothing is granted and nothing is queued")
 def nothing_back(context):
-    assert not told(context.commands, Grant)
+    assert not sent_messages(context.commands, Grant)
     assert not context.state.queue.items
     assert not context.state.held
 
@@ -147,7 +147,7 @@
 
 @then("the same grant is sent again")
 def same_grant(context):
-    assert told(context.again, Grant) == told(context.commands, Grant)
+    assert sent_messages(context.again, Grant) == sent_messages(context.commands, Grant)
     assert context.state.granted == 1
 
 
@@ -166,7 +166,7 @@
 
 @then("no prefill is granted for a slot that is taken")
 def none_granted(context):
-    assert not told(context.commands, Grant)
+    assert not sent_messages(context.commands, Grant)
     assert len(context.state.ledgers["d1"].decodes) == 2
 
 
@@ -305,9 +305,9 @@
     context.assigned = []
     for index in range(5):
         commands = cells.step(context.state, make_ask(f"r{index}"), index * 50)
-        for grant in told(commands, Grant):
+        for grant in sent_messages(commands, Grant):
             commands = cells.step(context.state, make_prefilled(grant.key), index * 50 + 9)
-            context.assigned += [assign.endpoint for assign in told(commands, Assign)]
+            context.assigned += [assign.endpoint for assign in sent_messages(commands, Assign)]
 
 
 @then("the draining endpoint is assigned nothing")
@@ -324,7 +324,7 @@
 def granted_other(context):
     for failed, other in (("p1", "p2"), ("p2", "p1")):
         ask = attrs.evolve(make_ask(), avoid=(failed,))
-        assert told(cells.step(context.make_state(), ask, 0), Grant)[0].endpoint == other
+        assert sent_messages(cells.step(context.make_state(), ask, 0), Grant)[0].endpoint == other
 
 
 @given("a decode endpoint to which this owner has just assigned three requests")
@@ -384,7 +384,7 @@
         request_id = f"r{index}"
         state.ended[request_id] = (1, 0)
         commands = cells.step(state, make_ask(request_id, attempt=2, retry=True), index)
-        context.refused += told(commands, Refusal)
+        context.refused += sent_messages(commands, Refusal)
 
 
 @then("the retries that go first are bounded by the retry budget")
