--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -208,9 +208,9 @@
         for command in cells.step(self.state, event, self.now_ms):
             if lose or not isinstance(command, cell_events.SendMessage):
                 continue
-            self.hear(command.message)
+            self.receive(command.message)
 
-    def hear(self, message):
+    def receive(self, message):
         match message:
             case Grant() if message.key in self.waiting:
                 self.granted.add(message.key)
