--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -110,7 +110,7 @@
         return not self.leaving and not self.changing and self.circuit.admits(now_ms)
 
     def slots(self, now_ms: int) -> float:
-        """Returns the slots this owner may use now: fewer in slow start, none unless `open`."""
+        """Returns the slots that this owner may use: fewer in slow start, none if not `open`."""
         if not self.open(now_ms):
             return 0.0
         own = 1.0
@@ -119,7 +119,7 @@
         return own - self.foreign - len(self.unacknowledged)
 
     def free_slots(self, now_ms: int) -> int:
-        """Returns the number of slots, rounded down, that the decodes in the ledger leave free."""
+        """Returns the number of free decode slots, rounded down."""
         return int(self.slots(now_ms)) - len(self.decodes)
 
     def backlog_end_ms(self, now_ms: int) -> float:
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -25,7 +25,7 @@
 RETRY_INTERVAL_MS = 1000
 # Reports lag: one that was sent before a role change must not undo the change.
 REPORT_SETTLE_MS = 3000
-# The longest pause of a process assumed between its check of the fence and its order.
+# Assumed upper bound of a process pause between the check of the fence and the order.
 MAX_PROCESS_PAUSE_MS = 2000
 
 
