--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -1,4 +1,4 @@
-"""Admission at the owner of a cell: asks are queued or refused, and granted a prefill."""
+"""Admission control of a cell: queues or refuses attempts, and grants prefills."""
 
 from saffronworks.bundles import Role
 from saffronworks.messages import (
@@ -8,7 +8,7 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
-    Tell,
+    SendMessage,
 )
 from saffronworks.owner.cell_states import CellState, drop_held, open_decoders
 from saffronworks.owner.ledgers import Held, Stage
@@ -22,18 +22,21 @@
 from saffronworks.owner.queues import Waiting
 
 __all__ = [
-    "LEAST_RETRY_AFTER_MS",
+    "MIN_RETRY_AFTER_MS",
     "grant_waiting",
     "predict_wait",
     "refuse",
-    "take_ask",
+    "handle_ask",
 ]
 
-LEAST_RETRY_AFTER_MS = 500
+MIN_RETRY_AFTER_MS = 500
 
 
-def take_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
-    """Queue an attempt, or refuse it at once; a repeated ask is answered again."""
+def handle_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
+    """Queues an attempt, or refuses it at once.
+
+    A repeated ask of a granted attempt gets its grant again, since the first may be lost.
+    """
     request_id = ask.key.request_id
     if ask.key.attempt <= state.ended.get(request_id, (0, 0))[0]:
         return []
@@ -41,7 +44,7 @@
     held = state.held.get(request_id)
     if held is not None and held.key == ask.key:
         grant = Grant(ask.key, held.prefill_endpoint)
-        return [Tell(ask.node, grant)] if held.stage == Stage.PREFILL else []
+        return [SendMessage(ask.node, grant)] if held.stage == Stage.PREFILL else []
     if held is not None:
         drop_held(state, held)
     waiting = state.queue.items.get(request_id)
@@ -49,22 +52,22 @@
         return []
     model = state.models.get(ask.model)
     if model is None:
-        return [refuse(state, ask, "no such model here", LEAST_RETRY_AFTER_MS)]
+        return [refuse(state, ask, "no such model here", MIN_RETRY_AFTER_MS)]
     if state.queue.full():
-        return [refuse(state, ask, "queue full", int(state.hold_ms.value))]
+        return [refuse(state, ask, "queue full", int(state.slot_time_ms.value))]
     arrived_ms = now_ms - ask.waited_ms
     item = Waiting(ask, model, arrived_ms, _work_ms(state, ask, now_ms))
     item.first = ask.retry and state.budget.withdraw()
     wait_ms = predict_wait(state, item, now_ms)
     if not ask.retry and wait_ms > item.patience_left_ms(now_ms):
         late_ms = int(wait_ms) - item.patience_left_ms(now_ms)
-        return [refuse(state, ask, "overload", max(LEAST_RETRY_AFTER_MS, late_ms))]
+        return [refuse(state, ask, "overload", max(MIN_RETRY_AFTER_MS, late_ms))]
     state.queue.items[request_id] = item
     return []
 
 
 def predict_wait(state: CellState, item: Waiting, now_ms: int) -> float:
-    """Predicted time to the first token of a new attempt, behind those that go before it."""
+    """Predicts the time to first token of a new attempt, including its time in the queue."""
     ahead = state.queue.ahead_of(item.ask)
     ledgers = state.ledgers.values()
     decoders = open_decoders(state, now_ms)
@@ -75,14 +78,14 @@
     free = expected_free(ledgers, state.held.values(), state.lengths, now_ms, now_ms)
     slots = sum(ledger.endpoint.slots for ledger in decoders)
     short = max(0.0, ahead + 1 - free)
-    decode_wait_ms = short * state.hold_ms.value / slots
+    decode_wait_ms = short * state.slot_time_ms.value / slots
     backlog_ms = min(ledger.backlog_end_ms(now_ms) for ledger in prefillers) - now_ms
     prefill_wait_ms = backlog_ms + ahead * work_ms / len(prefillers)
     return max(decode_wait_ms, prefill_wait_ms) + work_ms
 
 
 def _work_ms(state: CellState, ask: Ask, now_ms: int) -> float:
-    """Predicted prefill and transfer time of an attempt at the quickest open endpoint."""
+    """Predicts the prefill plus transfer time of an attempt at the fastest open endpoint."""
     best = 0.0
     for ledger in state.ledgers.values():
         if ledger.role is Role.PREFILL and ledger.open(now_ms):
@@ -93,13 +96,13 @@
 
 
 def refuse(state: CellState, ask: Ask, reason: str, retry_after_ms: int) -> Command:
-    """Tell an entry that its attempt was given up before a prefill."""
+    """Returns the refusal of an attempt that has not started its prefill."""
     state.refused += 1
-    return Tell(ask.node, Refusal(ask.key, reason, retry_after_ms))
+    return SendMessage(ask.node, Refusal(ask.key, reason, retry_after_ms))
 
 
 def grant_waiting(state: CellState, now_ms: int) -> list[Command]:
-    """Grant prefills to waiting attempts while one can start and find a slot."""
+    """Grants prefills in queue order while a prefill can start and a decode slot is expected."""
     commands: list[Command] = []
     if now_ms < state.grants_from_ms:
         return commands
@@ -116,9 +119,10 @@
 
 
 def _admit(state: CellState, item: Waiting, now_ms: int) -> PrefillChoice | None:
-    """A prefill endpoint, when a decode slot is predicted free by the end of the transfer.
+    """Chooses a prefill endpoint, or None unless a decode slot is predicted to be free.
 
-    How sure that must be follows the model's weight between goodput and wasted prefill.
+    The slot may become free after the transfer, while the KV result waits. A higher goodput
+    weight of the model allows a longer wait, at the risk of a wasted prefill.
     """
     ask = item.ask
     pool = state.cell.pool
@@ -154,4 +158,4 @@
     choice.ledger.prefills[ask.key.request_id] = held
     choice.ledger.circuit.take_trial(now_ms)
     state.granted += 1
-    return Tell(ask.node, Grant(ask.key, held.prefill_endpoint))
+    return SendMessage(ask.node, Grant(ask.key, held.prefill_endpoint))
--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -1,4 +1,4 @@
-"""From the end of a prefill to the end of an attempt, at the owner of a cell."""
+"""Decode assignment: handles an attempt from the end of its prefill to its release."""
 
 from saffronworks.messages import (
     Assign,
@@ -8,9 +8,9 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
-    Tell,
+    SendMessage,
 )
-from saffronworks.owner.cell_states import CellState, drop_held, note_failure
+from saffronworks.owner.cell_states import CellState, drop_held, record_failure
 from saffronworks.owner.ledgers import EndpointLedger, Held, Stage
 from saffronworks.owner.placement import (
     choose_decode,
@@ -18,30 +18,34 @@
 
 __all__ = [
     "assign_ready",
-    "take_prefilled",
-    "take_release",
+    "handle_prefilled",
+    "handle_release",
 ]
 
-LEAST_TRANSFER_LIMIT_MS = 800
+MIN_TRANSFER_LIMIT_MS = 800
 
 
 TRANSFER_LIMIT_FACTOR = 4
 
 
-def take_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
-    """A KV result waits; a decode endpoint may have refused it before."""
+def handle_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
+    """Records that a KV result waits for a decode slot.
+
+    With `refused_by`, the assigned endpoint refused it, and another one is needed. A repeat
+    without a refusal gets the same assignment again, since the first may be lost.
+    """
     held = state.held.get(event.key.request_id)
     if held is None or held.key != event.key:
         return []
     if event.failure == "connect":
-        note_failure(state, event.refused_by, event.failure, now_ms)
+        record_failure(state, event.refused_by, event.failure, now_ms)
     if held.stage == Stage.DECODE:
         if event.refused_by != held.decode_endpoint:
-            return [Tell(event.node, Assign(event.key, held.decode_endpoint, held.limit_ms))]
+            return [SendMessage(event.node, Assign(event.key, held.decode_endpoint, held.limit_ms))]
         state.ledgers[held.decode_endpoint].decodes.pop(event.key.request_id, None)
         held.decode_endpoint = ""
     if held.stage == Stage.PREFILL:
-        _learn_prefill(state, held, event)
+        _record_prefill(state, held, event)
     held.stage = Stage.READY
     state.ready[event.key.request_id] = held
     if event.refused_by:
@@ -50,7 +54,7 @@
     return []
 
 
-def _learn_prefill(state: CellState, held: Held, event: Prefilled) -> None:
+def _record_prefill(state: CellState, held: Held, event: Prefilled) -> None:
     ledger = state.ledgers.get(held.prefill_endpoint)
     if ledger is None:
         return
@@ -62,7 +66,7 @@
 
 
 def assign_ready(state: CellState, now_ms: int) -> list[Command]:
-    """Assign free slots to the KV results that wait, those that expire first at first."""
+    """Assigns free decode slots to waiting KV results, those that expire first before others."""
     commands: list[Command] = []
     for held in sorted(state.ready.values(), key=lambda held: held.expires_ms):
         choice = choose_decode(state.cell.pool, state.ledgers, held, now_ms)
@@ -71,7 +75,7 @@
         elif now_ms >= held.expires_ms:
             state.withdrawn += 1
             drop_held(state, held)
-            commands.append(Tell(held.node, AssignRefused(held.key)))
+            commands.append(SendMessage(held.node, AssignRefused(held.key)))
     return commands
 
 
@@ -84,35 +88,35 @@
     held.decode_started_ms = now_ms + transfer
     ledger.decodes[held.key.request_id] = held
     ledger.circuit.take_trial(now_ms)
-    ledger.note_occupancy(now_ms)
+    ledger.record_occupancy(now_ms)
     size = float(held.prompt_tokens * state.cell.pool.kv_bytes_per_token)
     ledger.links.append((held.decode_started_ms, size))
     if held.prefill_endpoint in state.ledgers:
         state.ledgers[held.prefill_endpoint].links.append((held.decode_started_ms, size))
     usual_ms = max(transfer, state.transfer_ms.value)
-    held.limit_ms = int(LEAST_TRANSFER_LIMIT_MS + TRANSFER_LIMIT_FACTOR * usual_ms)
-    return Tell(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
+    held.limit_ms = int(MIN_TRANSFER_LIMIT_MS + TRANSFER_LIMIT_FACTOR * usual_ms)
+    return SendMessage(held.node, Assign(held.key, ledger.endpoint.name, held.limit_ms))
 
 
-def take_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
-    """The attempt holds nothing any more; learn from how it went."""
+def handle_release(state: CellState, event: Release, now_ms: int) -> list[Command]:
+    """Removes an ended attempt, and updates circuits and predictions from its outcome."""
     request_id = event.key.request_id
     state.ended[request_id] = (event.key.attempt, now_ms)
     waiting = state.queue.items.get(request_id)
     if waiting is not None and waiting.ask.key.attempt <= event.key.attempt:
         del state.queue.items[request_id]
     for name in event.failed:
-        note_failure(state, name, event.failure, now_ms)
+        record_failure(state, name, event.failure, now_ms)
     held = state.held.get(request_id)
     if held is None or held.key != event.key:
         return []
     drop_held(state, held)
     if event.finished:
-        _learn_finish(state, held, event, now_ms)
+        _record_finish(state, held, event, now_ms)
     return []
 
 
-def _learn_finish(state: CellState, held: Held, event: Release, now_ms: int) -> None:
+def _record_finish(state: CellState, held: Held, event: Release, now_ms: int) -> None:
     state.budget.deposit()
     if held.model in state.lengths:
         state.lengths[held.model].add(event.output_tokens)
@@ -123,4 +127,4 @@
     if ledger is not None and event.output_tokens > 1:
         ledger.pace_ms.add(event.decode_ms / event.output_tokens)
     state.transfer_ms.add(float(event.transfer_ms))
-    state.hold_ms.add(float(event.decode_ms + event.transfer_ms))
+    state.slot_time_ms.add(float(event.decode_ms + event.transfer_ms))
--- a/saffronworks/owner/cells.py
+++ b/saffronworks/owner/cells.py
@@ -1,7 +1,8 @@
-"""The owner of a cell: a pure core that queues, grants, assigns, and reclaims.
+"""The scheduler of a cell: queues attempts, grants prefills, assigns decodes, reclaims slots.
 
-`step(state, event, now_ms)` takes the messages of entry nodes and what endpoints report, and
-returns typed commands. The state is soft: a new owner rebuilds it from what entries hold.
+`step(state, event, now_ms)` does no I/O: it applies a message of an entry node or a report of
+an endpoint to the state, and returns the commands to run. The state is not stored: a new owner
+rebuilds it from the lists of held attempts that the entry nodes send.
 """
 
 from saffronworks.messages import (
@@ -12,13 +13,13 @@
     Release,
 )
 from saffronworks.owner.admissions import (
-    LEAST_RETRY_AFTER_MS,
+    MIN_RETRY_AFTER_MS,
     grant_waiting,
+    handle_ask,
     predict_wait,
     refuse,
-    take_ask,
 )
-from saffronworks.owner.assignments import assign_ready, take_prefilled, take_release
+from saffronworks.owner.assignments import assign_ready, handle_prefilled, handle_release
 from saffronworks.owner.cell_events import (
     CacheReported,
     CancelAcknowledged,
@@ -34,9 +35,14 @@
     StreamsListed,
     Tick,
 )
-from saffronworks.owner.cell_states import CellState, new_cell, note_failure, set_cell
-from saffronworks.owner.reclaims import adopt_held, reclaim_node, renew_lease, take_streams
-from saffronworks.owner.roles import note_role, plan_roles, take_fence, take_role_answer
+from saffronworks.owner.cell_states import CellState, new_cell, record_failure, set_cell
+from saffronworks.owner.reclaims import adopt_held, handle_streams, reclaim_node, renew_lease
+from saffronworks.owner.roles import (
+    apply_reported_role,
+    handle_fence_taken,
+    handle_role_reply,
+    plan_roles,
+)
 
 __all__ = ["CellState", "new_cell", "predict_wait", "step"]
 
@@ -44,20 +50,20 @@
 
 
 def step(state: CellState, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event."""
+    """Applies one event to `state` and returns the commands to run, in order."""
     match event:
         case Ask():
-            commands = take_ask(state, event, now_ms)
+            commands = handle_ask(state, event, now_ms)
         case Prefilled():
-            commands = take_prefilled(state, event, now_ms)
+            commands = handle_prefilled(state, event, now_ms)
         case Release():
-            commands = take_release(state, event, now_ms)
+            commands = handle_release(state, event, now_ms)
         case LeaseRenewal():
             commands = renew_lease(state, event, now_ms)
         case HeldList():
             commands = adopt_held(state, event, now_ms)
         case StreamsListed():
-            commands = take_streams(state, event, now_ms)
+            commands = handle_streams(state, event, now_ms)
         case Tick():
             commands = _tick(state, now_ms)
         case _:
@@ -71,7 +77,7 @@
             ledger = state.ledgers[event.endpoint]
             ledger.apply_report(event.report, now_ms)
             ledger.circuit.answer(now_ms)
-            note_role(state, ledger, event.report, now_ms)
+            apply_reported_role(state, ledger, event.report, now_ms)
         case CacheReported() if event.endpoint in state.ledgers:
             state.ledgers[event.endpoint].apply_events(event.events)
         case CancelAcknowledged():
@@ -82,16 +88,16 @@
             state.cancels.forget_endpoint(event.endpoint)
             if event.endpoint in state.ledgers:
                 state.ledgers[event.endpoint].unacknowledged.clear()
-                note_failure(state, event.endpoint, "connect", now_ms)
+                record_failure(state, event.endpoint, "connect", now_ms)
         case EndpointsLeaving():
             for name, ledger in state.ledgers.items():
                 ledger.leaving = name in event.names
         case CellChanged():
             set_cell(state, event.cell)
         case FenceTaken():
-            take_fence(state, event, now_ms)
+            handle_fence_taken(state, event, now_ms)
         case RoleOrdered():
-            take_role_answer(state, event, now_ms)
+            handle_role_reply(state, event, now_ms)
     return []
 
 
@@ -102,7 +108,7 @@
     for request_id, waiting in list(state.queue.items.items()):
         if not waiting.ask.retry and waiting.patience_left_ms(now_ms) <= 0:
             del state.queue.items[request_id]
-            retry_after_ms = max(LEAST_RETRY_AFTER_MS, int(state.hold_ms.value))
+            retry_after_ms = max(MIN_RETRY_AFTER_MS, int(state.slot_time_ms.value))
             commands.append(refuse(state, waiting.ask, "overload", retry_after_ms))
     for endpoint, key in state.cancels.take_due(now_ms):
         commands.append(CancelStream(endpoint, key))
--- a/saffronworks/owner/reclaims.py
+++ b/saffronworks/owner/reclaims.py
@@ -1,4 +1,4 @@
-"""Leases, reclaim and rebuild at the owner of a cell."""
+"""Lease renewal, reclaim of slots from lost nodes, and rebuild of the state of a new owner."""
 
 from saffronworks.messages import (
     HeldKey,
@@ -9,23 +9,27 @@
 )
 from saffronworks.owner.cell_events import (
     Command,
+    SendMessage,
     StreamsListed,
-    Tell,
 )
 from saffronworks.owner.cell_states import CellState, drop_held
-from saffronworks.owner.leases import MISMATCHES_TO_ASK, hash_key
+from saffronworks.owner.leases import MISMATCHES_BEFORE_QUERY, hash_key
 from saffronworks.owner.ledgers import Held, Stage
 
 __all__ = [
     "adopt_held",
     "reclaim_node",
     "renew_lease",
-    "take_streams",
+    "handle_streams",
 ]
 
 
 def renew_lease(state: CellState, event: LeaseRenewal, now_ms: int) -> list[Command]:
-    """Renew a node's lease, and ask for its list when what it holds differs."""
+    """Renews the lease of a node, and requests its held attempts when their digest differs.
+
+    Outside the rebuild of a new owner, one mismatch alone requests nothing: messages under way
+    cause brief differences.
+    """
     commands: list[Command] = []
     if state.leases.renew(event.node, event.incarnation, now_ms):
         commands += reclaim_node(state, event.node, now_ms)
@@ -41,13 +45,17 @@
         return commands
     lease.mismatches += 1
     rebuilding = now_ms < state.grants_from_ms
-    if rebuilding or lease.mismatches >= MISMATCHES_TO_ASK:
-        commands.append(Tell(event.node, HeldQuery(state.cell.name)))
+    if rebuilding or lease.mismatches >= MISMATCHES_BEFORE_QUERY:
+        commands.append(SendMessage(event.node, HeldQuery(state.cell.name)))
     return commands
 
 
 def adopt_held(state: CellState, event: HeldList, now_ms: int) -> list[Command]:
-    """Make the ledger agree with the entry, which is the truth about its own requests."""
+    """Reconciles the held attempts of a node with its list, which is authoritative.
+
+    An attempt that the node does not list is dropped only once its grant is older than the
+    lease: the grant may not have reached the node when it wrote the list.
+    """
     listed = {item.key.request_id: item for item in event.held}
     for held in [held for held in state.held.values() if held.node == event.node]:
         item = listed.get(held.key.request_id)
@@ -81,7 +89,10 @@
 
 
 def reclaim_node(state: CellState, node: str, now_ms: int) -> list[Command]:
-    """Cancel at the engines all that a node held, until each cancel is acknowledged."""
+    """Drops all attempts of a lost node, and cancels the granted ones at their endpoints.
+
+    Each cancel is repeated until it is acknowledged, and occupies a decode slot until then.
+    """
     for request_id, waiting in list(state.queue.items.items()):
         if waiting.ask.node == node:
             del state.queue.items[request_id]
@@ -99,8 +110,12 @@
         state.ledgers[endpoint].unacknowledged.add(key)
 
 
-def take_streams(state: CellState, event: StreamsListed, now_ms: int) -> list[Command]:
-    """Compare the live streams of an endpoint with what is claimed."""
+def handle_streams(state: CellState, event: StreamsListed, now_ms: int) -> list[Command]:
+    """Compares the live streams of an endpoint with the attempts in the ledger.
+
+    Requests the held attempts of the nodes that unclaimed streams belong to, and cancels streams
+    that stay unclaimed past the grace period.
+    """
     unclaimed: set[RequestKey] = set()
     holders: set[str] = set()
     for key, holder in event.streams:
@@ -108,7 +123,9 @@
         if held is None or held.key != key:
             unclaimed.add(key)
             holders.add(holder)
-    commands: list[Command] = [Tell(node, HeldQuery(state.cell.name)) for node in sorted(holders)]
+    commands: list[Command] = [
+        SendMessage(node, HeldQuery(state.cell.name)) for node in sorted(holders)
+    ]
     for key in state.orphans.observe(event.endpoint, unclaimed, now_ms):
         state.ended[key.request_id] = (key.attempt, now_ms)
         _cancel(state, event.endpoint, key, now_ms)
--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -1,9 +1,9 @@
-"""Role changes: an endpoint moves between prefill and decode as demand shifts.
+"""Role changes: moves endpoints between prefill and decode as demand shifts.
 
-Part of the core of a cell's owner, for pools whose bundle allows it (`change_roles`). The rule
-compares how busy both roles are, and moves one endpoint when that lets the cell serve clearly
-more, for long enough, and not soon after the last change. The endpoint is emptied first, and
-then told by a fenced order: only the owner that holds the fence may give one.
+Part of the scheduler of a cell, for pools whose bundle sets `change_roles`. One endpoint at a
+time changes, when one role is saturated, the move would raise the capacity of the cell clearly
+and for long enough, and the last change is not recent. The endpoint is drained first, and then
+gets an order with a fencing token, so that an owner that was replaced can't order it.
 """
 
 import attrs
@@ -13,25 +13,25 @@
 from saffronworks.owner.cell_states import CellState, RoleChange
 from saffronworks.owner.ledgers import EndpointLedger, LoadReport
 
-__all__ = ["note_role", "plan_roles", "take_fence", "take_role_answer"]
+__all__ = ["apply_reported_role", "plan_roles", "handle_fence_taken", "handle_role_reply"]
 
-LOOK_MS = 250
-LEAST_USE = 0.92
-LEAST_GAIN = 1.25
+EVALUATION_INTERVAL_MS = 250
+MIN_UTILISATION = 0.92
+MIN_CAPACITY_GAIN = 1.25
 SUSTAIN_MS = 4000
-REST_MS = 5000
+COOLDOWN_MS = 5000
 DRAIN_LIMIT_MS = 20_000
 ORDER_LIMIT_MS = 10_000
-ASK_AGAIN_MS = 1000
-# Reports lag: one that left before a change must not undo what is known of it.
+RETRY_INTERVAL_MS = 1000
+# Reports lag: one that was sent before a role change must not undo the change.
 REPORT_SETTLE_MS = 3000
-# How long a process may stand still unnoticed between its check of the fence and its order.
-PAUSE_BOUND_MS = 2000
+# Assumed upper bound of a process pause between the check of the fence and the order.
+MAX_PROCESS_PAUSE_MS = 2000
 
 
 @attrs.frozen
-class _Split:
-    """Endpoints of each role, and how much work each role has, in endpoints."""
+class _RoleLoad:
+    """The endpoints of each role, and the load of each role as a number of busy endpoints."""
 
     prefills: int
     decodes: int
@@ -39,7 +39,10 @@
     decode_work: float
 
     def capacity(self, moved: int) -> float:
-        """How many times the present work fits when `moved` endpoints go over to prefill."""
+        """Returns the multiple of the present load that fits after a move.
+
+        `moved` endpoints go from decode to prefill; a negative number goes the other way.
+        """
         prefills, decodes = self.prefills + moved, self.decodes - moved
         if prefills < 1 or decodes < 1:
             return 0.0
@@ -47,31 +50,31 @@
 
 
 def plan_roles(state: CellState, now_ms: int) -> list[Command]:
-    """Look at both roles, begin a change, or carry on with the one under way."""
+    """Measures both roles, and starts a role change or advances the current one."""
     plan = state.roles
-    if not state.cell.pool.change_roles or now_ms - plan.looked_ms < LOOK_MS:
+    if not state.cell.pool.change_roles or now_ms - plan.evaluated_ms < EVALUATION_INTERVAL_MS:
         return []
-    plan.looked_ms = now_ms
-    split = _observe(state, now_ms)
-    if plan.change is None and now_ms >= max(plan.rest_until_ms, state.grants_from_ms):
-        _consider(state, split, now_ms)
+    plan.evaluated_ms = now_ms
+    split = _measure_load(state, now_ms)
+    if plan.change is None and now_ms >= max(plan.cooldown_until_ms, state.grants_from_ms):
+        _start_change_if_needed(state, split, now_ms)
     return _advance(state, plan.change, now_ms) if plan.change else []
 
 
-def _observe(state: CellState, now_ms: int) -> _Split:
+def _measure_load(state: CellState, now_ms: int) -> _RoleLoad:
     prefillers = [ledger for ledger in _of_role(state, Role.PREFILL) if ledger.open(now_ms)]
     decoders = [ledger for ledger in _of_role(state, Role.DECODE) if ledger.open(now_ms)]
     slots = sum(ledger.endpoint.slots for ledger in decoders)
     busy = sum(1 for ledger in prefillers if ledger.prefills)
     running = sum(len(ledger.decodes) for ledger in decoders)
     plan = state.roles
-    plan.prefill_use.add(busy / len(prefillers) if prefillers else 1.0)
-    plan.decode_use.add(running / slots if slots else 1.0)
-    return _Split(
+    plan.prefill_utilisation.add(busy / len(prefillers) if prefillers else 1.0)
+    plan.decode_utilisation.add(running / slots if slots else 1.0)
+    return _RoleLoad(
         len(prefillers),
         len(decoders),
-        plan.prefill_use.value * max(1, len(prefillers)),
-        plan.decode_use.value * max(1, len(decoders)),
+        plan.prefill_utilisation.value * max(1, len(prefillers)),
+        plan.decode_utilisation.value * max(1, len(decoders)),
     )
 
 
@@ -79,15 +82,20 @@
     return [ledger for ledger in state.ledgers.values() if ledger.role is role]
 
 
-def _consider(state: CellState, split: _Split, now_ms: int) -> None:
-    """Begin a change once the same role has lacked an endpoint for long enough."""
+def _start_change_if_needed(state: CellState, split: _RoleLoad, now_ms: int) -> None:
+    """Starts a change once the same role has been short of an endpoint for `SUSTAIN_MS`.
+
+    Chooses the least loaded endpoint of the other role, which keeps at least one open endpoint.
+    """
     plan = state.roles
-    to_prefill = plan.prefill_use.value >= plan.decode_use.value
+    to_prefill = plan.prefill_utilisation.value >= plan.decode_utilisation.value
     wanted = Role.PREFILL if to_prefill else Role.DECODE
     now = split.capacity(0)
     gain = split.capacity(1 if to_prefill else -1) / now if now else float("inf")
-    pressed = max(plan.prefill_use.value, plan.decode_use.value) >= LEAST_USE
-    if not pressed or gain < LEAST_GAIN or plan.wanted is not wanted:
+    saturated = (
+        max(plan.prefill_utilisation.value, plan.decode_utilisation.value) >= MIN_UTILISATION
+    )
+    if not saturated or gain < MIN_CAPACITY_GAIN or plan.wanted is not wanted:
         plan.wanted = wanted
         plan.wanted_since_ms = now_ms
         return
@@ -110,7 +118,7 @@
         return []
     if change.ordered_ms is not None:
         return _order(state, change, ledger, now_ms)
-    if not _is_empty(state, ledger):
+    if not _is_drained(state, ledger):
         change.empty_since_ms = None
     elif change.empty_since_ms is None:
         change.empty_since_ms = now_ms
@@ -124,23 +132,27 @@
     return _order(state, change, ledger, now_ms)
 
 
-def _is_empty(state: CellState, ledger: EndpointLedger) -> bool:
-    """Whether nothing runs there, and no KV result waits there for its transfer."""
+def _is_drained(state: CellState, ledger: EndpointLedger) -> bool:
+    """Returns True when the endpoint runs nothing and holds no KV result to be transferred."""
     name = ledger.endpoint.name
     waits = any(held.prefill_endpoint == name for held in state.ready.values())
     return not (ledger.prefills or ledger.decodes or ledger.unacknowledged or waits)
 
 
 def _may_order(state: CellState, ledger: EndpointLedger, now_ms: int) -> bool:
-    """At an endpoint that does not check fences, an earlier owner's time must have run out."""
+    """Returns True when no earlier owner can still order the endpoint.
+
+    An endpoint that checks fences rejects an earlier owner itself. At any other, this owner
+    waits until an earlier owner's lease and longest pause have passed.
+    """
     if ledger.endpoint.checks_fence:
         return True
-    return now_ms - state.roles.fence_taken_ms >= state.leases.lease_ms + PAUSE_BOUND_MS
+    return now_ms - state.roles.fence_taken_ms >= state.leases.lease_ms + MAX_PROCESS_PAUSE_MS
 
 
 def _ask_fence(state: CellState, now_ms: int) -> list[Command]:
     plan = state.roles
-    if plan.fence_asked_ms is not None and now_ms - plan.fence_asked_ms < ASK_AGAIN_MS:
+    if plan.fence_asked_ms is not None and now_ms - plan.fence_asked_ms < RETRY_INTERVAL_MS:
         return []
     plan.fence_asked_ms = now_ms
     return [TakeFence(state.cell.name)]
@@ -149,8 +161,8 @@
 def _order(
     state: CellState, change: RoleChange, ledger: EndpointLedger, now_ms: int
 ) -> list[Command]:
-    """Send the order, and again with the same sequence until it is answered."""
-    if change.ordered_ms is not None and now_ms - change.ordered_ms < ASK_AGAIN_MS:
+    """Returns the order, or a repeat with the same sequence number until it is answered."""
+    if change.ordered_ms is not None and now_ms - change.ordered_ms < RETRY_INTERVAL_MS:
         return []
     change.ordered_ms = now_ms
     plan = state.roles
@@ -158,15 +170,18 @@
     return [OrderRole(change.endpoint, change.role, plan.fence, plan.sequence, recheck)]
 
 
-def take_fence(state: CellState, event: FenceTaken, now_ms: int) -> None:
-    """The store gave this owner a fence higher than any before."""
+def handle_fence_taken(state: CellState, event: FenceTaken, now_ms: int) -> None:
+    """Records the fence that the store issued, which is higher than any before it."""
     state.roles.fence = event.fence
     state.roles.fence_taken_ms = now_ms
     state.roles.sequence = 0
 
 
-def take_role_answer(state: CellState, event: RoleOrdered, now_ms: int) -> None:
-    """The endpoint took the order, or a higher fence is out and another owner acts."""
+def handle_role_reply(state: CellState, event: RoleOrdered, now_ms: int) -> None:
+    """Ends the change when the endpoint accepted or rejected its order.
+
+    A rejection means that the store has issued a higher fence, so this owner drops its own.
+    """
     change = state.roles.change
     if change is None or change.endpoint != event.endpoint:
         return
@@ -177,8 +192,10 @@
     _end_change(state, now_ms)
 
 
-def note_role(state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int) -> None:
-    """Where roles change, the endpoint itself is the truth about its role."""
+def apply_reported_role(
+    state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int
+) -> None:
+    """Applies the reported role of an endpoint, which overrides the ledger in such pools."""
     if not state.cell.pool.change_roles or report.role not in tuple(Role):
         return
     role = Role(report.role)
@@ -201,5 +218,5 @@
     if change is not None and change.endpoint in state.ledgers:
         state.ledgers[change.endpoint].changing = False
     state.roles.change = None
-    state.roles.rest_until_ms = now_ms + REST_MS
+    state.roles.cooldown_until_ms = now_ms + COOLDOWN_MS
     state.roles.wanted_since_ms = now_ms
--- a/saffronworks/tests/features/steps/cells_steps.py
+++ b/saffronworks/tests/features/steps/cells_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the core of a cell's owner."""
+"""Steps for the scheduler of a cell: grants, assignments, leases and reclaim."""
 
 from unittest import mock
 
@@ -54,11 +54,11 @@
     return Prefilled(key, node, "b/p/0", 5, 0, 800)
 
 
-def told(commands, kind):
+def sent_messages(commands, kind):
     return [
         c.message
         for c in commands
-        if isinstance(c, cell_events.Tell) and isinstance(c.message, kind)
+        if isinstance(c, cell_events.SendMessage) and isinstance(c.message, kind)
     ]
 
 
@@ -70,14 +70,14 @@
 def granted(context):
     context.state = make_state()
     context.commands = cells.step(context.state, make_ask(), 0)
-    assert told(context.commands, Grant)
+    assert sent_messages(context.commands, Grant)
 
 
 @given("a cell with a request that decodes")
 def decoding(context):
     granted(context)
     context.key = RequestKey("r", 1)
-    assert told(cells.step(context.state, make_prefilled(context.key), 10), Assign)
+    assert sent_messages(cells.step(context.state, make_prefilled(context.key), 10), Assign)
 
 
 @when("the first heartbeat of its node arrives")
@@ -92,7 +92,7 @@
     assert not cancels(context.commands)
 
 
-@when("its node is silent past the lease")
+@when("its node sends no heartbeat until its lease has lapsed")
 def silent(context):
     context.at_ms = LEASE_MS + 100
     context.commands = cells.step(context.state, cell_events.Tick(), context.at_ms)
@@ -107,7 +107,7 @@
     context.commands = cells.step(context.state, cell_events.Tick(), context.at_ms)
 
 
-@then("its decode stream is cancelled again and again until acknowledged")
+@then("the cancel of its decode stream is repeated until acknowledged")
 def cancelled_again(context):
     assert ("d1", context.key) in cancels(context.commands)
     again = cells.step(context.state, cell_events.Tick(), context.at_ms + 1000)
@@ -118,7 +118,7 @@
     assert not cancels(cells.step(context.state, cell_events.Tick(), context.at_ms + 5000))
 
 
-@then("its slot is not free before the engine acknowledges")
+@then("its slot is not free before the engine acknowledges the cancel")
 def not_free(context):
     ledger = context.state.ledgers["d1"]
     assert ledger.free_slots(context.at_ms) == 1
@@ -135,19 +135,19 @@
 
 @then("nothing is granted and nothing is queued")
 def nothing_back(context):
-    assert not told(context.commands, Grant)
+    assert not sent_messages(context.commands, Grant)
     assert not context.state.queue.items
     assert not context.state.held
 
 
-@when("the same ask arrives again")
+@when("the same ask arrives a second time")
 def same_ask(context):
     context.again = cells.step(context.state, make_ask(), 400)
 
 
 @then("the same grant is sent again")
 def same_grant(context):
-    assert told(context.again, Grant) == told(context.commands, Grant)
+    assert sent_messages(context.again, Grant) == sent_messages(context.commands, Grant)
     assert context.state.granted == 1
 
 
@@ -156,7 +156,7 @@
     context.state = make_state(slots=2, rebuild_ms=500)
 
 
-@when("the entry node lists what it holds")
+@when("the entry node lists its held attempts")
 def list_held(context):
     held = tuple(HeldKey(RequestKey(f"h{i}", 1), "d1", "decode", "o", 3) for i in range(2))
     context.commands = cells.step(context.state, make_ask(), 100)
@@ -166,7 +166,7 @@
 
 @then("no prefill is granted for a slot that is taken")
 def none_granted(context):
-    assert not told(context.commands, Grant)
+    assert not sent_messages(context.commands, Grant)
     assert len(context.state.ledgers["d1"].decodes) == 2
 
 
@@ -195,7 +195,7 @@
 
 @attrs.define
 class CellWorld:
-    """Entry nodes in small; messages either way may be lost, and are sent again by ticks."""
+    """A model of the entry nodes; messages either way may be lost, and ticks send them again."""
 
     state: cells.CellState
     now_ms: int = 0
@@ -206,11 +206,11 @@
 
     def feed(self, event, lose=False):
         for command in cells.step(self.state, event, self.now_ms):
-            if lose or not isinstance(command, cell_events.Tell):
+            if lose or not isinstance(command, cell_events.SendMessage):
                 continue
-            self.hear(command.message)
+            self.receive(command.message)
 
-    def hear(self, message):
+    def receive(self, message):
         match message:
             case Grant() if message.key in self.waiting:
                 self.granted.add(message.key)
@@ -251,7 +251,7 @@
         self.feed(Release(key, "n", "b/p/0", finished=True, output_tokens=9, decode_ms=300))
 
 
-@given("any order of asks, ends, losses and ticks")
+@given("any order of asks, releases, lost messages and ticks")
 def any_order(context):
     context.worlds = []
 
@@ -274,7 +274,7 @@
         assert len(world.assigned) <= 2
 
 
-@then("when all is released nothing is held")
+@then("when all attempts are released none is held")
 def drains(context):
     for world in context.worlds:
         for key in list(world.waiting):
@@ -294,59 +294,59 @@
     return cells.new_cell(cell, "owner", LEASE_MS, 0, 0)
 
 
-@given("a cell with two decode endpoints of which one is leaving")
+@given("a cell with two decode endpoints of which one is draining")
 def one_leaving(context):
     context.state = wide_state()
     cells.step(context.state, cell_events.EndpointsLeaving(frozenset({"d1"})), 0)
 
 
-@when("more requests come than the other has slots")
+@when("more requests arrive than the other endpoint has slots")
 def too_many(context):
     context.assigned = []
     for index in range(5):
         commands = cells.step(context.state, make_ask(f"r{index}"), index * 50)
-        for grant in told(commands, Grant):
+        for grant in sent_messages(commands, Grant):
             commands = cells.step(context.state, make_prefilled(grant.key), index * 50 + 9)
-            context.assigned += [assign.endpoint for assign in told(commands, Assign)]
+            context.assigned += [assign.endpoint for assign in sent_messages(commands, Assign)]
 
 
-@then("the one that is leaving is assigned nothing")
+@then("the draining endpoint is assigned nothing")
 def only_the_other(context):
     assert context.assigned == ["d2", "d2"], context.assigned
 
 
-@given("a cell with two prefill endpoints that are alike")
+@given("a cell with two equal prefill endpoints")
 def two_alike(context):
     context.make_state = wide_state
 
 
-@then("a request that names one as failed is granted the other")
+@then("a request that one of them failed is granted the other")
 def granted_other(context):
     for failed, other in (("p1", "p2"), ("p2", "p1")):
         ask = attrs.evolve(make_ask(), avoid=(failed,))
-        assert told(cells.step(context.make_state(), ask, 0), Grant)[0].endpoint == other
+        assert sent_messages(cells.step(context.make_state(), ask, 0), Grant)[0].endpoint == other
 
 
-@given("a decode endpoint on which this owner has just placed three requests")
+@given("a decode endpoint to which this owner has just assigned three requests")
 def three_placed(context):
     context.ledger = EndpointLedger(Endpoint("d1", "127.0.0.1:2", "z", Role.DECODE, slots=8))
-    context.ledger.note_occupancy(0)
+    context.ledger.record_occupancy(0)
     for index in range(3):
         held = Held(RequestKey(f"r{index}", 1), "n", "m", "o", "decode", "p1", 1000)
         context.ledger.decodes[f"r{index}"] = held
-        context.ledger.note_occupancy(1000 + index)
+        context.ledger.record_occupancy(1000 + index)
 
 
-@when("reports come late, some are lost, and then two show work of another")
+@when("reports are late, some are lost, and then two in a row show decodes of another owner")
 def reports_come(context):
     context.foreign = []
-    # Each report is 1 s old; those of 1500 and 1750 ms are lost.
+    # Each report describes the load of 1 s before; the reports at 1500 and 1750 ms are lost.
     for now_ms, running in ((1250, 0), (2000, 0), (2250, 3), (2500, 3), (2750, 5), (3000, 5)):
         context.ledger.apply_report(LoadReport(running, age_ms=1000), now_ms)
         context.foreign.append(context.ledger.foreign)
 
 
-@then("own work was never counted twice, and the other's is")
+@then("only the decodes of the other owner are counted as foreign")
 def foreign_right(context):
     assert context.foreign == [0, 0, 0, 0, 0, 2], context.foreign
     assert context.ledger.free_slots(3000) == 3
@@ -361,7 +361,7 @@
     assert len(context.state.queue.items) > 20, len(context.state.queue.items)
 
 
-@when("asks come again and time passes")
+@when("asks are repeated and ticks pass")
 def asks_again(context):
     with mock.patch.object(WaitQueue, "select", autospec=True) as select:
         for now_ms in range(100, 300, 20):
@@ -376,7 +376,7 @@
     assert context.searches == 0, context.searches
 
 
-@given("a cell whose requests all fail")
+@given("a cell whose requests have all failed and are retried")
 def all_fail(context):
     state = context.state = make_state(slots=1)
     context.refused = []
@@ -384,16 +384,16 @@
         request_id = f"r{index}"
         state.ended[request_id] = (1, 0)
         commands = cells.step(state, make_ask(request_id, attempt=2, retry=True), index)
-        context.refused += told(commands, Refusal)
+        context.refused += sent_messages(commands, Refusal)
 
 
-@then("the retries that go before others are bounded by the budget")
+@then("the retries that go first are bounded by the retry budget")
 def bounded(context):
     first = [item for item in context.state.queue.items.values() if item.first]
     assert len(first) + context.state.granted <= BUDGET_FLOOR + 1, len(first)
 
 
-@then("none of the others is given up, and the queue stays bounded")
+@then("the other retries wait, and are refused only when the queue is full")
 def others_wait(context):
     assert len(context.state.queue.items) == QUEUE_LENGTH
     assert {refusal.reason for refusal in context.refused} == {"queue full"}
