--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -1,7 +1,7 @@
-"""The life of one request at its entry node: a pure state machine.
+"""State machine of one request at its entry node, free of I/O.
 
-`step(request, event, now_ms)` changes the request and returns typed commands. It decides
-what is dispatched, which late or doubled input is dropped, and the outcome a caller is told.
+`step(request, event, now_ms)` updates the request and returns typed commands. It decides what
+is dispatched, drops late and duplicate events, and sets the outcome reported to the caller.
 """
 
 import attrs
@@ -50,15 +50,16 @@
 RESUMES_PER_ATTEMPT = 2
 MOST_ATTEMPTS = 6
 MOST_DOUBLINGS = 3
-# The owner withdraws an expired result by itself; the entry waits a little for its word.
+# The owner withdraws an expired KV result itself; the entry node allows for its message to arrive.
 KV_GRACE_MS = 100
-# The entry gives a stalled transfer up first; the engine's own limit is for when it cannot.
+# The entry node times a stalled transfer out first; the engine's own limit applies when the entry
+# node is unable to.
 IMPORT_GRACE_MS = 500
 
 
 @attrs.define
 class Request:
-    """State of one request. `delivered` counts the tokens that the caller was given."""
+    """State of one request. `delivered` counts the tokens sent to the caller."""
 
     request_id: str
     prompt_tokens: int
@@ -95,20 +96,21 @@
 
     @property
     def key(self) -> RequestKey:
-        """The current attempt."""
+        """The key of the current attempt."""
         return RequestKey(self.request_id, self.attempt)
 
     @property
     def holds_prefill(self) -> bool:
-        """Whether prefill work of this attempt would be wasted by a failure now."""
+        """True while a failure would waste this attempt's prefill work."""
         return self.phase in (Phase.PREFILLING, Phase.ASSIGNING, Phase.TRANSFERRING)
 
     @property
     def next_due_ms(self) -> int | None:
-        """Until when the next token helps its caller; None while tokens come.
+        """The deadline of the next token; None while the stream is intact.
 
-        A stream that lost its engine is given as long as a newcomer, so that it neither ends by a
-        deadline which it has met, nor waits without an end where no owner answers.
+        A stream that lost its engine gets as much time as a new request. The original deadline was
+        met by the first token, and without any deadline the request would wait forever when no
+        owner answers.
         """
         if self.first_token_ms is None:
             return self.deadline_ms
@@ -117,12 +119,12 @@
         return self.broke_ms + self.deadline_ms - self.arrived_ms
 
     def too_late(self, now_ms: int) -> bool:
-        """Whether the next token can't come in time any more."""
+        """True when the deadline of the next token has passed."""
         return self.next_due_ms is not None and now_ms >= self.next_due_ms
 
 
 def step(request: Request, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event. Input of an older attempt, or after the end, changes nothing."""
+    """Apply one event; events of an older attempt or of a finished request are ignored."""
     if request.phase is Phase.FINISHED:
         return []
     if getattr(event, "attempt", request.attempt) != request.attempt:
@@ -148,7 +150,7 @@
 
 
 def _lose_lease(request: Request, now_ms: int) -> list[Command]:
-    """Make what was granted void. A running stream tells by itself when it was cancelled."""
+    """Retry a request whose grant is void; the engine reports the cancellation of a stream."""
     match request.phase:
         case Phase.WAITING:
             return _retry(request, now_ms, (), "lease lost", executed=False)
@@ -241,8 +243,8 @@
         case DecodeEnded() if event.total == request.delivered:
             return _end(request, Completed())
         case DecodeEnded():
-            # With more to come the engine can be asked again. One that tells less than the caller
-            # has, or no length, contradicts what is out: its end says nothing of this answer.
+            # A larger total means that tokens are missing, and the engine can resume. A smaller
+            # total, or none, contradicts the tokens already delivered: the end isn't trusted.
             more = event.total is not None and event.total > request.delivered
             failure = "gap" if more else "wrong end"
             return _broken(request, DecodeBroken(event.attempt, more, failure), now_ms)
@@ -273,7 +275,7 @@
         return [ResumeDecode(request.attempt, request.decode_endpoint, request.delivered)]
     failed: tuple[str, ...] = (request.decode_endpoint,)
     if request.phase is Phase.TRANSFERRING:
-        # Either end of the transfer may be at fault; success elsewhere clears the other.
+        # Either side of the transfer may have failed; later successes clear the healthy one.
         failed = (request.decode_endpoint, request.prefill_endpoint)
     return _retry(request, now_ms, failed, event.failure, executed=True)
 
@@ -281,7 +283,7 @@
 def _retry(
     request: Request, now_ms: int, failed: tuple[str, ...], failure: str, executed: bool
 ) -> list[Command]:
-    """Give the attempt up and start another one, where that cannot run anything twice."""
+    """Abandon the attempt and start another, unless an unrepeatable request may have run."""
     commands: list[Command] = _drop_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
     too_many = request.attempt >= MOST_ATTEMPTS
@@ -323,7 +325,7 @@
 
 
 def _ask_due_ms(request: Request) -> int:
-    """When the last message to the owner is sent again: later each time."""
+    """The time of the next resend to the owner, with exponential backoff."""
     return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MOST_DOUBLINGS)
 
 
@@ -337,7 +339,7 @@
 
 
 def due_ms(request: Request) -> int:
-    """When the request next needs a `Tick`; a tick before that changes nothing."""
+    """The time at which the request next needs a `Tick`; an earlier one changes nothing."""
     match request.phase:
         case Phase.WAITING:
             due = _ask_due_ms(request)
