--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -1,10 +1,11 @@
-"""Claims on `Idempotency-Key`s: at most one request may run for each, through any node.
-
-All claims lie in `SHARDS` objects of the store. The home of a shard, a node chosen by hash,
-writes the claims that wait there in one conditional update, at once when the last write is
-`GATHER_MS` ago; that bounds the writes of the whole fleet. Only the store decides: two homes for
-a moment disturb each other, and grant nothing twice. This is the pure core of one shard at its
-home; `now_ms` is the time of day, since claims outlive the nodes that wrote them.
+"""Claims on `Idempotency-Key`s: at most one request runs for each key, across all nodes.
+
+Claims are stored in `SHARDS` objects of the store. The owner of a shard, a node chosen by hash,
+writes all pending claims in one conditional update, at most every `GATHER_MS`, which bounds the
+write rate of the whole fleet. The store alone decides: two nodes that both act as owner for a
+moment cause write conflicts, and never grant a key twice. This module is the state machine of one
+shard at its owner, free of I/O; `now_ms` is wall-clock time, since claims outlive the nodes that
+wrote them.
 """
 
 import attrs
@@ -42,7 +43,7 @@
 SHARDS = 64
 GATHER_MS = 200
 CLAIM_KEPT_MS = 600_000
-# A value of the store is bounded at 1 MB, and a record takes up to 130 bytes.
+# The store limits a value to 1 MB, and a record takes up to 130 bytes.
 MOST_CLAIMS = 7000
 MOST_TRIES = 4
 FIRST_BACKOFF_MS = 100
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """What the store keeps of a claim; `at_ms` is the time of day when it was taken."""
+    """A claim as stored; `at_ms` is the wall-clock time at which it was recorded."""
 
     request_id: str
     node: str
@@ -59,23 +60,23 @@
 
 
 def claim_key(organisation: str, idempotency_key: str) -> str:
-    """The key of a claim; keys of different organisations never meet."""
+    """The key of a claim, hashed with the organisation: equal keys of two don't conflict."""
     text = f"{organisation}\n{idempotency_key}"
     return f"{hash64(text):016x}{hash64(text[::-1]):016x}"
 
 
 def shard_of(key: str) -> str:
-    """The store's key of the object that a claim lies in."""
+    """The store key of the shard that holds a claim."""
     return f"claims/{int(key[:8], 16) % SHARDS:02x}"
 
 
 def write_records(records: dict[str, ClaimRecord]) -> str:
-    """A shard's claims as the store's value."""
+    """Encode the claims of a shard as a store value."""
     return msgspec.json.encode(records).decode()
 
 
 def read_records(content: str) -> dict[str, ClaimRecord]:
-    """The claims in a value; raises msgspec.ValidationError when it holds none."""
+    """Decode the claims of a store value; raises msgspec.ValidationError if it is malformed."""
     return msgspec.json.decode(content, type=dict[str, ClaimRecord])
 
 
@@ -86,7 +87,7 @@
 
 @attrs.frozen
 class Denied:
-    """Another request has the key, and it may have run."""
+    """Another request holds the key, and it may have run."""
 
     request_id: str
     node: str
@@ -94,7 +95,7 @@
 
 @attrs.frozen
 class Unrecorded:
-    """The claim could not be recorded; nothing may be dispatched."""
+    """The claim was not recorded; the request must not be dispatched."""
 
 
 Result = Claimed | Denied | Unrecorded
@@ -102,7 +103,7 @@
 
 @attrs.frozen
 class Asked:
-    """A request of `node` wants the key."""
+    """A request at `node` claims the key."""
 
     key: str
     request_id: str
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class Settled:
-    """The request surely did not run: the key is free for another one."""
+    """The request certainly did not run, so another request may claim the key."""
 
     key: str
     request_id: str
@@ -119,7 +120,7 @@
 
 @attrs.frozen
 class ReadDone:
-    """The shard as it stands; version 0 when there is no object yet."""
+    """The shard's current content; version 0 when the object does not exist yet."""
 
     version: int
     records: dict[str, ClaimRecord]
@@ -127,29 +128,29 @@
 
 @attrs.frozen
 class WriteDone:
-    """The store took the write, as this version."""
+    """The store applied the write as this version."""
 
     version: int
 
 
 @attrs.frozen
 class WriteMoved:
-    """Another home wrote first."""
+    """Another owner wrote first: the version has changed."""
 
 
 @attrs.frozen
 class WriteLost:
-    """No reply: the write may have taken effect, or may yet."""
+    """The write got no reply: it may have been applied, or may be applied later."""
 
 
 @attrs.frozen
 class Unavailable:
-    """The store does not answer reads, or surely did not take the write."""
+    """A read failed, or a write was certainly not applied."""
 
 
 @attrs.frozen
 class Tick:
-    """Time passes."""
+    """Periodic timer event."""
 
 
 @attrs.frozen
@@ -167,7 +168,7 @@
 
 @attrs.frozen
 class Answer:
-    """Tell a node how the claim of its request went."""
+    """Send a node the result of its request's claim."""
 
     node: str
     key: str
@@ -182,10 +183,10 @@
 
 @attrs.define
 class ClaimShard:
-    """One shard at its home. `version` is None when it must be read (again).
+    """State of one shard at its owner. `version` is None when the shard must be read.
 
-    `waiting` holds asks by (key, request id) with the time of each; `settled` the pairs whose
-    claims have to go; `batch` the pairs that the write under way adds.
+    `waiting` holds pending claims by (key, request id), each with its arrival time; `settled` the
+    pairs whose claims must be removed; `batch` the pairs added by the write in flight.
     """
 
     version: int | None = None
@@ -200,7 +201,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is under way and nothing waits."""
+        """True when no store call is in flight and nothing is pending."""
         return not (self.waiting or self.settled or self.reading or self.writing is not None)
 
 
@@ -236,7 +237,7 @@
 
 
 def _go_on(state: ClaimShard, now_ms: int) -> list[Command]:
-    """Answer what the records tell, then read or write as is due; one call at a time."""
+    """Answer claims from the records, then read or write if due; one store call at a time."""
     if state.reading or state.writing is not None or now_ms < state.next_try_ms:
         return []
     if state.version is None:
@@ -262,7 +263,7 @@
 
 
 def _answer_known(state: ClaimShard, records: dict[str, ClaimRecord]) -> list[Command]:
-    """Answer the asks whose key is recorded and kept, for them or for another request."""
+    """Answer the pending claims whose key has an unexpired record."""
     commands: list[Command] = []
     for key, request_id in list(state.waiting):
         record = records.get(key)
@@ -276,13 +277,13 @@
 
 
 def _refuse_full(state: ClaimShard, count: int) -> list[Command]:
-    """Refuse the asks beyond what one object holds."""
+    """Reject the pending claims that exceed the shard's capacity."""
     beyond = list(state.waiting)[max(0, MOST_CLAIMS - count) :]
     return [_answer(state, pair, Unrecorded()) for pair in beyond]
 
 
 def _choose_batch(state: ClaimShard, records: dict[str, ClaimRecord]) -> tuple[_Pair, ...]:
-    """The first ask for each free key; another one for the same key waits for the outcome."""
+    """The first pending claim of each free key; later ones wait for its outcome."""
     chosen: dict[str, str] = {}
     for key, request_id in state.waiting:
         if key not in records:
@@ -302,7 +303,7 @@
 
 
 def _back_off(state: ClaimShard, now_ms: int) -> list[Command]:
-    """Read again later; after too many tries nobody is kept waiting."""
+    """Schedule another read with backoff; after `MOST_TRIES` fail all pending claims."""
     state.reading, state.writing, state.version = False, None, None
     state.tries += 1
     state.next_try_ms = now_ms + FIRST_BACKOFF_MS * 2 ** min(state.tries, MOST_TRIES)
@@ -312,10 +313,10 @@
 
 
 def _give_up(state: ClaimShard, now_ms: int, waited_ms: int) -> list[Command]:
-    """Tell those that waited so long.
+    """Fail the claims that have been pending for at least `waited_ms`.
 
-    Their claims stay, if a write took effect: another home may have granted them meanwhile, so
-    only the asking node can say that a request did not run.
+    Claims that a write has stored stay: another owner may have granted them meanwhile, so only the
+    requesting node can confirm that a request did not run.
     """
     late = [pair for pair, (_, at_ms) in state.waiting.items() if now_ms - at_ms >= waited_ms]
     return [_answer(state, pair, Unrecorded()) for pair in late]
