--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -1,4 +1,4 @@
-"""The claim service: asks the homes of claims for this node, and is the home of some shards."""
+"""Claim service: claims keys for this node's requests, and owns some of the claim shards."""
 
 import logging
 
@@ -26,14 +26,14 @@
 
 @attrs.frozen
 class _ShardEvent:
-    """What the store said of a shard."""
+    """The result of a store call on a shard."""
 
     shard: str
     event: claims.Event
 
 
 class ClaimService:
-    """Takes and settles claims of one node, and keeps the shards that it is the home of."""
+    """Makes and withdraws the claims of one node, and manages the shards that the node owns."""
 
     name = "claims"
 
@@ -46,7 +46,7 @@
         self._work = anyio.Event()
 
     async def claim(self, key: str, request_id: str) -> claims.Result:
-        """Ask the key's home until it answers; past the limit nothing may be dispatched."""
+        """Claim the key, with resends; after `LIMIT_S` the result is `Unrecorded`."""
         pair = (key, request_id)
         self._replies[pair] = anyio.Event()
         try:
@@ -71,14 +71,14 @@
         return result
 
     def settle_not_run(self, key: str, request_id: str) -> None:
-        """Tell the home that the request did not run, so that a retry with the key may.
+        """Report to the shard's owner that the request did not run, which frees the key.
 
-        When the word is lost the claim stays: a retry is then told *unknown*.
+        If the message is lost the claim stays, and a retry gets the outcome *unknown*.
         """
         self._send(key, ClaimSettle(key, request_id))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Serve messages, and shards while any is busy, until cancelled."""
+        """Handle messages and drive the busy shards until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel, tasks)
