--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -1,7 +1,8 @@
-"""Which nodes are alive: a pure core of ring heartbeats, suspicion and refutation.
+"""Failure detector of the nodes: ring heartbeats, suspicion and refutation, free of I/O.
 
-The platform's lagging list says who may exist; heartbeats to a few ring neighbours say who
-answers. Changes ride on heartbeats, so background traffic does not grow with the fleet.
+The platform's list of VMs, which lags, gives the possible members; heartbeats to a few ring
+neighbours detect which are alive. Status changes are piggybacked on heartbeats, so a node's
+background traffic does not grow with the fleet.
 """
 
 import enum
@@ -41,7 +42,7 @@
 
 
 class Status(enum.StrEnum):
-    """What is believed of a member; `LEAVING` still serves, but owns nothing new."""
+    """Status of a member in this node's view; `LEAVING` ones serve, but become no new owners."""
 
     LISTED = "listed"
     ALIVE = "alive"
@@ -63,7 +64,7 @@
 
 @attrs.frozen
 class VmRecord:
-    """One VM as the platform lists it: an entry VM, or the VM of an endpoint."""
+    """One VM in the platform's list: that of an entry node, or that of an endpoint."""
 
     name: str
     address: str
@@ -75,7 +76,7 @@
 
 @attrs.frozen
 class MemberUpdate:
-    """News of one member; a higher incarnation, then a graver status, goes first."""
+    """Status of one member; a higher incarnation wins, then the higher-ranked status."""
 
     name: str
     address: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Sent every heartbeat to each ring neighbour. `digest` is that of the documents."""
+    """Sent to each ring neighbour every period; `digest` covers the sender's documents."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -97,7 +98,7 @@
 
 @attrs.frozen
 class HeartbeatReply:
-    """The answer to a heartbeat; carries the whole table to a node that just joined."""
+    """The reply to a heartbeat; carries the whole member table to a node that just joined."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -107,7 +108,7 @@
 
 @attrs.frozen
 class Listed:
-    """The platform's list of VMs, late as it may be."""
+    """The platform's list of VMs, which may be out of date."""
 
     vms: tuple[VmRecord, ...]
 
@@ -164,7 +165,7 @@
 
 
 def live_members(state: Membership, owners_only: bool = False) -> list[str]:
-    """Names of the members that answer, this node among them, in order of name."""
+    """Sorted names of the live members, this node included; `owners_only` omits leaving ones."""
     wanted = {Status.ALIVE, Status.SUSPECT}
     if not owners_only:
         wanted.add(Status.LEAVING)
@@ -175,7 +176,7 @@
 
 
 def leave(state: Membership, gone: bool, now_ms: int) -> list[Command]:
-    """Announce that this node leaves (still serving), or is gone for good."""
+    """Announce that this node is leaving but still serves, or, if `gone`, that it has left."""
     status = Status.LEFT if gone else Status.LEAVING
     state.me = attrs.evolve(state.me, incarnation=state.me.incarnation + 1, status=status)
     return _beat(state, now_ms)
@@ -253,7 +254,7 @@
 
 
 def _spread_now(state: Membership, update: MemberUpdate) -> list[Command]:
-    """Tell a few members at once; on heartbeats alone news would walk around the ring."""
+    """Send an update to a few random members; heartbeats alone pass it on one ring hop a period."""
     others = [
         member.update.address
         for member in state.members.values()
@@ -297,9 +298,10 @@
 
 
 def _patience_ms(state: Membership, usual_ms: int) -> float:
-    """A wait for others, up to twice as long where all replies are late: this node is slow.
+    """A timeout extended up to twofold while replies are late on average.
 
-    Replies within a share of the heartbeat count as usual, and add nothing.
+    Late replies from all members indicate that this node itself is slow. Replies within
+    `USUAL_REPLY_SHARE` of the heartbeat period extend nothing.
     """
     late_ms = max(0.0, state.reply_ms.value - USUAL_REPLY_SHARE * state.heartbeat_ms)
     return usual_ms + min(float(usual_ms), REPLY_FACTOR * late_ms)
@@ -310,7 +312,7 @@
     state.last_tick_ms = now_ms
     commands: list[Command] = []
     if paused:
-        # This node itself stood still: its questions were not answered for that reason.
+        # This node was suspended, so missing replies say nothing about the other members.
         for member in state.members.values():
             member.asked_ms = None
             member.since_ms = now_ms
@@ -362,7 +364,7 @@
 
 @functools.lru_cache(maxsize=POSITIONS_KEPT)
 def _position(name: str) -> int:
-    """Where a member stands on the ring; each beat asks for every member's."""
+    """A member's position on the ring; cached, since each heartbeat sorts all members by it."""
     return hash64(name)
 
 
