--- a/saffronworks/ownership.py
+++ b/saffronworks/ownership.py
@@ -1,4 +1,4 @@
-"""Owner of a cell by rendezvous hash, and the split of a pool into cells."""
+"""Splits pools into cells, and chooses the owner of each cell by rendezvous hashing."""
 
 from collections.abc import Iterable
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Cell:
-    """Prefill and decode endpoints that one owner grants; `name` is unique in the fleet."""
+    """Part of a pool, scheduled by one owner node; `name` is unique in the fleet."""
 
     name: str
     pool: Pool
@@ -23,12 +23,12 @@
 
 
 def choose_owner(members: Iterable[str], key: str) -> str | None:
-    """The member that owns `key`, None when there are no members."""
+    """The member that owns `key`, or None when there are no members."""
     return max(members, key=lambda member: weigh_member(member, key), default=None)
 
 
 def split_pool(bundle: Bundle, pool: Pool) -> list[Cell]:
-    """Cells of about `CELL_ENDPOINTS`, each with both roles in the proportion of the pool."""
+    """Split a pool into cells of about `CELL_ENDPOINTS`, with roles in the pool's proportion."""
     models = tuple(model for model in bundle.models if model.pool == pool.name)
     by_role = {
         role: sorted((e for e in pool.endpoints if e.role is role), key=lambda e: (e.zone, e.name))
