--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -1,4 +1,4 @@
-"""One task per request at its entry node: performs the core's commands, feeds it events."""
+"""Runs one request at its entry node: executes the state machine's commands, feeds it events."""
 
 import logging
 from typing import Protocol
@@ -37,22 +37,22 @@
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receiver of the answer's tokens."""
 
     async def deliver(self, tokens: tuple[str, ...]) -> None:
-        """Take the next tokens, in order."""
+        """Deliver the next tokens, in order."""
 
 
 class Owners(Protocol):
-    """How a runner reaches the owner of a cell."""
+    """Connection to the owners of cells."""
 
     def tell_owner(self, cell: str, message: object) -> None:
-        """Send to the owner, which may be this node."""
+        """Send a message to the cell's owner, which may be this node."""
 
 
 @attrs.frozen
 class Job:
-    """What a caller asked for."""
+    """A caller's request, with the model and the cell that serve it."""
 
     prompt: str
     prefix_key: str
@@ -82,11 +82,11 @@
         )
 
     def post(self, event: request_events.Event) -> None:
-        """Hand in an event without waiting; a full mailbox drops it, as the network would.
+        """Queue an event without blocking; a full queue drops it.
 
-        So only what can be missed comes this way: owners' answers are asked for again, ticks come
-        again, and a lost lease says nothing to a request that streams, the only kind whose mailbox
-        fills up. Tokens and ends of runs wait for room.
+        Only events that may be lost are posted: requests to owners are resent, ticks recur, and a
+        lost lease is ignored by a streaming request, the only kind whose queue fills up. Tokens and
+        results of engine calls wait for room instead.
         """
         try:
             self._outbox.send_nowait(event)
@@ -94,7 +94,7 @@
             logger.warning("event=event_dropped request=%s", self.request.request_id)
 
     def held(self) -> HeldKey | None:
-        """What this request holds at the owner, None while it holds nothing."""
+        """The grant that this request holds at its owner, or None."""
         request = self.request
         match request.phase:
             case Phase.PREFILLING:
@@ -108,9 +108,10 @@
         return HeldKey(request.key, endpoint, stage, self.job.organisation, request.delivered)
 
     async def run(self, sink: Sink) -> request_events.Outcome:
-        """Run to the outcome. On cancellation the engines are told, then it goes on up.
+        """Run the request and return its outcome.
 
-        An error within is logged and becomes an outcome too: there is a caller to be told.
+        Cancellation cancels the work at the engines, then propagates. An internal error is logged
+        and becomes an outcome, since the caller still needs an answer.
         """
         try:
             async with anyio.create_task_group() as tasks:
@@ -131,7 +132,7 @@
         return self.request.outcome
 
     def _abandon(self, event: request_events.CallerGone | request_events.RouterFailed) -> None:
-        """Tell engines and owner when the task ends before the request does."""
+        """Cancel engine work and release the grant when the task ends before the request."""
         for command in requests.step(self.request, event, self._kernel.now_ms()):
             self._perform_now(command)
 
@@ -161,7 +162,7 @@
                 self._cancel(command)
 
     def _cancel(self, command: request_events.CancelAt) -> None:
-        """Order a cancel; an endpoint that this node does not know was sent nothing."""
+        """Queue a cancel order; an endpoint unknown to this node was never sent any work."""
         endpoint = self._endpoints.get(command.endpoint)
         if endpoint is not None:
             key = RequestKey(self.request.request_id, command.attempt)
@@ -268,7 +269,7 @@
         await self._follow(command.endpoint, call)
 
     async def _follow(self, name: str, call: Decode | Resume) -> None:
-        """Read a stream to its end; whatever breaks it becomes one event."""
+        """Read a decode stream to its end; any failure is reported as one event."""
         endpoint: Endpoint | None = self._endpoints.get(name)
         address = endpoint.address if endpoint else "127.0.0.1:0"
         opened_ok = isinstance(call, Resume)
@@ -283,7 +284,7 @@
                 async for line in opened.ok_value:
                     event = _read_line(call.attempt, line)
                     if line.done or line.cancelled:
-                        # Read on to the end of the body, so that the connection is used again.
+                        # Read to the end of the body, so that the connection can be reused.
                         last = event
                     else:
                         await self._outbox.send(event)
