--- a/saffronworks/fences.py
+++ b/saffronworks/fences.py
@@ -1,7 +1,7 @@
-"""Fencing tokens from the platform's store: the version of one object for each cell.
+"""Fencing tokens of cells: the version of one object per cell in the platform's store.
 
-A conditional update gives each taker a higher version, so that endpoints which check fences
-refuse whoever took one earlier.
+Each conditional update gives the writer a higher version, so that endpoints which check fences
+reject every earlier holder.
 """
 
 import logging
@@ -19,14 +19,14 @@
 
 
 class FenceKeeper:
-    """Takes fences for the cells of one node, and looks whether they still hold."""
+    """Acquires fencing tokens for one node's cells, and checks that they are still current."""
 
     def __init__(self, node: str, store: StoreClient):
         self._node = node
         self._store = store
 
     async def take(self, cell: str) -> Result[int, str]:
-        """A fence higher than any before, or why there is none; a lost reply wastes one."""
+        """Acquire a token above all earlier ones, or the error; a lost reply wastes one."""
         expected = 0
         for _ in range(MOST_TRIES):
             reply = await self._store.put(FENCE_PREFIX + cell, self._node, expected)
@@ -39,10 +39,10 @@
             if not isinstance(failure, Moved):
                 return Err(failure.reason)
             expected = failure.version
-        return Err("others take fences too")
+        return Err("fence contention: other nodes kept updating it")
 
     async def holds(self, cell: str, fence: int) -> bool:
-        """Whether nobody took a higher one; False also when the store does not say."""
+        """True when the store confirms that no higher token exists, False if the read fails."""
         reply = await self._store.get(FENCE_PREFIX + cell)
         if isinstance(reply, Err) or reply.ok_value is None:
             return False
