--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -98,7 +98,7 @@
     def _take(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
         match message:
             case ClaimAsk():
-                asked = claims.Asked(message.key, message.request_id, message.node)
+                asked = claims.ClaimRequested(message.key, message.request_id, message.node)
                 self._step(kernel, tasks, claims.shard_of(message.key), asked)
             case ClaimSettle():
                 settled = claims.Settled(message.key, message.request_id)
--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "Answer",
-    "Asked",
+    "ClaimRequested",
     "ClaimRecord",
     "ClaimShard",
     "Claimed",
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen
-class Asked:
+class ClaimRequested:
     """A request at `node` claims the key."""
 
     key: str
@@ -176,7 +176,9 @@
     result: Result
 
 
-Event = Asked | Settled | ReadDone | WriteDone | WriteMoved | WriteLost | Unavailable | Tick
+Event = (
+    ClaimRequested | Settled | ReadDone | WriteDone | WriteMoved | WriteLost | Unavailable | Tick
+)
 Command = Read | Write | Answer
 _Pair = tuple[str, str]
 
@@ -191,7 +193,7 @@
 
     version: int | None = None
     records: dict[str, ClaimRecord] = attrs.Factory(dict)
-    waiting: dict[_Pair, tuple[Asked, int]] = attrs.Factory(dict)
+    waiting: dict[_Pair, tuple[ClaimRequested, int]] = attrs.Factory(dict)
     settled: set[_Pair] = attrs.Factory(set)
     writing: dict[str, ClaimRecord] | None = None
     batch: tuple[_Pair, ...] = ()
@@ -209,7 +211,7 @@
     """Apply one event."""
     commands: list[Command] = []
     match event:
-        case Asked():
+        case ClaimRequested():
             commands += _take_ask(state, event, now_ms)
         case Settled():
             state.waiting.pop((event.key, event.request_id), None)
@@ -228,7 +230,7 @@
     return commands + _go_on(state, now_ms)
 
 
-def _take_ask(state: ClaimShard, asked: Asked, now_ms: int) -> list[Command]:
+def _take_ask(state: ClaimShard, asked: ClaimRequested, now_ms: int) -> list[Command]:
     pair = (asked.key, asked.request_id)
     if pair in state.waiting or pair in state.settled:
         return []
--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -86,7 +86,7 @@
         self.now_ms += 40
         match action:
             case "ask" if request_id not in self.decided:
-                self.feed(home, claims.Asked(key, request_id, "n"))
+                self.feed(home, claims.ClaimRequested(key, request_id, "n"))
             case "store" if self.calls:
                 caller, command = self.calls.pop(number % len(self.calls))
                 self.feed(caller, self.store.act(command))
@@ -156,7 +156,7 @@
             (answers if isinstance(command, claims.Answer) else calls).append(command)
 
     for index in range(count):
-        feed(claims.Asked(f"k{index}", f"r{index}", "n"))
+        feed(claims.ClaimRequested(f"k{index}", f"r{index}", "n"))
     while calls:
         feed(context.store.act(calls.pop(0)))
     context.results = answers
@@ -172,7 +172,7 @@
 
 @then("the next group is written only when some time has passed")
 def gathered(context):
-    early = claims.step(context.state, claims.Asked("next", "r", "n"), 1_000_000 + 1)
+    early = claims.step(context.state, claims.ClaimRequested("next", "r", "n"), 1_000_000 + 1)
     assert not early, early
     due_ms = 1_000_000 + claims.GATHER_MS
     (write,) = claims.step(context.state, claims.Tick(), due_ms)
@@ -189,7 +189,7 @@
 def asked_in_turn(context):
     world = context.world
     for number in range(6):
-        world.feed(number % 2, claims.Asked(f"k{number}", f"r{number}", "n"))
+        world.feed(number % 2, claims.ClaimRequested(f"k{number}", f"r{number}", "n"))
         world.settle_calls()
         world.now_ms += claims.GATHER_MS
 
@@ -198,7 +198,7 @@
 def both_record(context):
     world = context.world
     assert [answer.result for answer in world.answers] == [claims.Claimed()] * 6
-    world.feed(0, claims.Asked("k5", "other", "n"))
+    world.feed(0, claims.ClaimRequested("k5", "other", "n"))
     world.settle_calls()
     assert world.answers[-1].result == claims.Denied("r5", "n")
 
@@ -206,16 +206,16 @@
 @then("after the time that claims are kept the next write leaves them out")
 def pruned(context):
     later_ms = 1_000_000 + claims.GATHER_MS + claims.CLAIM_KEPT_MS
-    commands = claims.step(context.state, claims.Asked("new", "r", "n"), later_ms)
+    commands = claims.step(context.state, claims.ClaimRequested("new", "r", "n"), later_ms)
     assert [list(command.records) for command in commands] == [["new"]], commands
 
 
 @then("an old key is free then, also where no write came between")
 def old_key_free(context):
     state = ClaimShard(version=3, records={"k": ClaimRecord("r", "n", 0)})
-    early = claims.step(state, claims.Asked("k", "other", "n"), claims.CLAIM_KEPT_MS - 1)
+    early = claims.step(state, claims.ClaimRequested("k", "other", "n"), claims.CLAIM_KEPT_MS - 1)
     assert [command.result for command in early] == [claims.Denied("r", "n")]
-    (write,) = claims.step(state, claims.Asked("k", "other", "n"), claims.CLAIM_KEPT_MS)
+    (write,) = claims.step(state, claims.ClaimRequested("k", "other", "n"), claims.CLAIM_KEPT_MS)
     assert write.records["k"].request_id == "other"
 
 
@@ -223,9 +223,9 @@
 def full_shard(context):
     records = {f"k{i}": ClaimRecord(f"r{i}", "n", 0) for i in range(claims.MOST_CLAIMS)}
     state = ClaimShard(version=3, records=records)
-    new = claims.step(state, claims.Asked("new", "r", "n"), 10)
+    new = claims.step(state, claims.ClaimRequested("new", "r", "n"), 10)
     assert [command.result for command in new] == [claims.Unrecorded()]
-    known = claims.step(state, claims.Asked("k7", "other", "n"), 10)
+    known = claims.step(state, claims.ClaimRequested("k7", "other", "n"), 10)
     assert [command.result for command in known] == [claims.Denied("r7", "n")]
 
 
--- a/tools/claim_bench.py
+++ b/tools/claim_bench.py
@@ -37,7 +37,7 @@
 
     def _ask(self, index: int) -> None:
         key = claims.claim_key("o", str(index))
-        self._step(claims.shard_of(key), claims.Asked(key, f"r{index}", "n"))
+        self._step(claims.shard_of(key), claims.ClaimRequested(key, f"r{index}", "n"))
 
     def _tick(self) -> None:
         for name in [name for name, state in self.shards.items() if not state.idle]:
