--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -163,7 +163,7 @@
         case Ok(version):
             return claims.WriteDone(version)
         case Err(stores.Moved()):
-            return claims.WriteMoved()
+            return claims.WriteConflict()
         case Err(stores.StoreFailure(applied=True)):
             return claims.WriteLost()
         case _:
--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -32,7 +32,7 @@
     "Write",
     "WriteDone",
     "WriteLost",
-    "WriteMoved",
+    "WriteConflict",
     "claim_key",
     "read_records",
     "shard_of",
@@ -134,7 +134,7 @@
 
 
 @attrs.frozen
-class WriteMoved:
+class WriteConflict:
     """Another owner wrote first: the version has changed."""
 
 
@@ -177,7 +177,7 @@
 
 
 Event = (
-    ClaimRequested | Settled | ReadDone | WriteDone | WriteMoved | WriteLost | Unavailable | Tick
+    ClaimRequested | Settled | ReadDone | WriteDone | WriteConflict | WriteLost | Unavailable | Tick
 )
 Command = Read | Write | Answer
 _Pair = tuple[str, str]
@@ -221,7 +221,7 @@
             state.version, state.records = event.version, dict(event.records)
         case WriteDone():
             commands += _finish_write(state, event.version, now_ms)
-        case WriteMoved():
+        case WriteConflict():
             state.writing, state.version = None, None
         case WriteLost() | Unavailable():
             commands += _back_off(state, now_ms)
--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -44,7 +44,7 @@
 
     def apply(self, command):
         if command.expected != self.version:
-            return claims.WriteMoved()
+            return claims.WriteConflict()
         self.writes += 1
         self.version += 1
         self.records = dict(command.records)
