--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -44,7 +44,7 @@
 GATHER_MS = 200
 CLAIM_KEPT_MS = 600_000
 # The store limits a value to 1 MB, and a record takes up to 130 bytes.
-MOST_CLAIMS = 7000
+MAX_CLAIMS = 7000
 MOST_TRIES = 4
 FIRST_BACKOFF_MS = 100
 LONGEST_WAIT_MS = 3000
@@ -280,7 +280,7 @@
 
 def _refuse_full(state: ClaimShard, count: int) -> list[Command]:
     """Reject the pending claims that exceed the shard's capacity."""
-    beyond = list(state.waiting)[max(0, MOST_CLAIMS - count) :]
+    beyond = list(state.waiting)[max(0, MAX_CLAIMS - count) :]
     return [_answer(state, pair, Unrecorded()) for pair in beyond]
 
 
--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -221,7 +221,7 @@
 
 @then("a shard that is full refuses new keys and still answers those that it has")
 def full_shard(context):
-    records = {f"k{i}": ClaimRecord(f"r{i}", "n", 0) for i in range(claims.MOST_CLAIMS)}
+    records = {f"k{i}": ClaimRecord(f"r{i}", "n", 0) for i in range(claims.MAX_CLAIMS)}
     state = ClaimShard(version=3, records=records)
     new = claims.step(state, claims.ClaimRequested("new", "r", "n"), 10)
     assert [command.result for command in new] == [claims.Unrecorded()]
