--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -45,7 +45,7 @@
 CLAIM_KEPT_MS = 600_000
 # The store limits a value to 1 MB, and a record takes up to 130 bytes.
 MAX_CLAIMS = 7000
-MOST_TRIES = 4
+MAX_TRIES = 4
 FIRST_BACKOFF_MS = 100
 LONGEST_WAIT_MS = 3000
 
@@ -305,11 +305,11 @@
 
 
 def _back_off(state: ClaimShard, now_ms: int) -> list[Command]:
-    """Schedule another read with backoff; after `MOST_TRIES` fail all pending claims."""
+    """Schedule another read with backoff; after `MAX_TRIES` fail all pending claims."""
     state.reading, state.writing, state.version = False, None, None
     state.tries += 1
-    state.next_try_ms = now_ms + FIRST_BACKOFF_MS * 2 ** min(state.tries, MOST_TRIES)
-    if state.tries < MOST_TRIES:
+    state.next_try_ms = now_ms + FIRST_BACKOFF_MS * 2 ** min(state.tries, MAX_TRIES)
+    if state.tries < MAX_TRIES:
         return []
     return _give_up(state, now_ms, 0)
 
