--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -47,7 +47,7 @@
 MAX_CLAIMS = 7000
 MAX_TRIES = 4
 FIRST_BACKOFF_MS = 100
-LONGEST_WAIT_MS = 3000
+MAX_WAIT_MS = 3000
 
 
 @attrs.frozen
@@ -226,7 +226,7 @@
         case WriteLost() | Unavailable():
             commands += _back_off(state, now_ms)
         case Tick():
-            commands += _give_up(state, now_ms, LONGEST_WAIT_MS)
+            commands += _give_up(state, now_ms, MAX_WAIT_MS)
     return commands + _go_on(state, now_ms)
 
 
