--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -212,7 +212,7 @@
     commands: list[Command] = []
     match event:
         case ClaimRequested():
-            commands += _take_ask(state, event, now_ms)
+            commands += _add_claim(state, event, now_ms)
         case Settled():
             state.waiting.pop((event.key, event.request_id), None)
             state.settled.add((event.key, event.request_id))
@@ -230,7 +230,7 @@
     return commands + _go_on(state, now_ms)
 
 
-def _take_ask(state: ClaimShard, asked: ClaimRequested, now_ms: int) -> list[Command]:
+def _add_claim(state: ClaimShard, asked: ClaimRequested, now_ms: int) -> list[Command]:
     pair = (asked.key, asked.request_id)
     if pair in state.waiting or pair in state.settled:
         return []
