--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -227,7 +227,7 @@
             commands += _back_off(state, now_ms)
         case Tick():
             commands += _give_up(state, now_ms, MAX_WAIT_MS)
-    return commands + _go_on(state, now_ms)
+    return commands + _advance(state, now_ms)
 
 
 def _add_claim(state: ClaimShard, asked: ClaimRequested, now_ms: int) -> list[Command]:
@@ -238,7 +238,7 @@
     return []
 
 
-def _go_on(state: ClaimShard, now_ms: int) -> list[Command]:
+def _advance(state: ClaimShard, now_ms: int) -> list[Command]:
     """Answer claims from the records, then read or write if due; one store call at a time."""
     if state.reading or state.writing is not None or now_ms < state.next_try_ms:
         return []
