--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -251,7 +251,7 @@
         if (key, record.request_id) not in state.settled and now_ms - record.at_ms < CLAIM_KEPT_MS
     }
     commands = _answer_known(state, records)
-    commands += _refuse_full(state, len(records))
+    commands += _reject_excess(state, len(records))
     batch = _choose_batch(state, records)
     for key, request_id in batch:
         asked, _ = state.waiting[(key, request_id)]
@@ -278,7 +278,7 @@
     return commands
 
 
-def _refuse_full(state: ClaimShard, count: int) -> list[Command]:
+def _reject_excess(state: ClaimShard, count: int) -> list[Command]:
     """Reject the pending claims that exceed the shard's capacity."""
     beyond = list(state.waiting)[max(0, MAX_CLAIMS - count) :]
     return [_answer(state, pair, Unrecorded()) for pair in beyond]
