--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -226,7 +226,7 @@
         case WriteLost() | Unavailable():
             commands += _back_off(state, now_ms)
         case Tick():
-            commands += _give_up(state, now_ms, MAX_WAIT_MS)
+            commands += _fail_pending(state, now_ms, MAX_WAIT_MS)
     return commands + _advance(state, now_ms)
 
 
@@ -311,10 +311,10 @@
     state.next_try_ms = now_ms + FIRST_BACKOFF_MS * 2 ** min(state.tries, MAX_TRIES)
     if state.tries < MAX_TRIES:
         return []
-    return _give_up(state, now_ms, 0)
+    return _fail_pending(state, now_ms, 0)
 
 
-def _give_up(state: ClaimShard, now_ms: int, waited_ms: int) -> list[Command]:
+def _fail_pending(state: ClaimShard, now_ms: int, waited_ms: int) -> list[Command]:
     """Fail the claims that have been pending for at least `waited_ms`.
 
     Claims that a write has stored stay: another owner may have granted them meanwhile, so only the
