--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -32,7 +32,7 @@
 ]
 
 NEIGHBOURS = 2
-RUMOUR_TARGETS = 2
+GOSSIP_TARGETS = 2
 UPDATES_PER_MESSAGE = 12
 SYNC_MEMBERS = 400
 HEAL_EVERY_BEATS = 4
@@ -261,7 +261,7 @@
         if member.update.status in (Status.ALIVE, Status.LEAVING)
         and member.update.name != update.name
     ]
-    targets = state.rng.sample(others, min(RUMOUR_TARGETS, len(others)))
+    targets = state.rng.sample(others, min(GOSSIP_TARGETS, len(others)))
     beat = Heartbeat(state.me, (update,), state.digest, state.fresh_age_ms)
     return [Send(address, beat) for address in targets]
 
