--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -35,7 +35,7 @@
 GOSSIP_TARGETS = 2
 UPDATES_PER_MESSAGE = 12
 SYNC_MEMBERS = 400
-HEAL_EVERY_BEATS = 4
+PROBE_DEAD_EVERY_BEATS = 4
 POSITIONS_KEPT = 4096
 REPLY_FACTOR = 4.0
 USUAL_REPLY_SHARE = 0.2
@@ -357,7 +357,7 @@
     suspects = [m for m in ring[NEIGHBOURS:] if m.update.status is Status.SUSPECT]
     targets += suspects[:1]
     silent = [m for m in state.members.values() if m.update.status in (Status.DEAD, Status.LISTED)]
-    if silent and state.beats % HEAL_EVERY_BEATS == 0:
+    if silent and state.beats % PROBE_DEAD_EVERY_BEATS == 0:
         targets.append(state.rng.choice(silent))
     return targets
 
