--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -36,7 +36,7 @@
 UPDATES_PER_MESSAGE = 12
 SYNC_MEMBERS = 400
 PROBE_DEAD_EVERY_BEATS = 4
-POSITIONS_KEPT = 4096
+POSITION_CACHE_SIZE = 4096
 REPLY_FACTOR = 4.0
 USUAL_REPLY_SHARE = 0.2
 
@@ -362,7 +362,7 @@
     return targets
 
 
-@functools.lru_cache(maxsize=POSITIONS_KEPT)
+@functools.lru_cache(maxsize=POSITION_CACHE_SIZE)
 def _position(name: str) -> int:
     """A member's position on the ring; cached, since each heartbeat sorts all members by it."""
     return hash64(name)
