--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -37,7 +37,7 @@
 SYNC_MEMBERS = 400
 PROBE_DEAD_EVERY_BEATS = 4
 POSITION_CACHE_SIZE = 4096
-REPLY_FACTOR = 4.0
+LATE_REPLY_FACTOR = 4.0
 USUAL_REPLY_SHARE = 0.2
 
 
@@ -304,7 +304,7 @@
     `USUAL_REPLY_SHARE` of the heartbeat period extend nothing.
     """
     late_ms = max(0.0, state.reply_ms.value - USUAL_REPLY_SHARE * state.heartbeat_ms)
-    return usual_ms + min(float(usual_ms), REPLY_FACTOR * late_ms)
+    return usual_ms + min(float(usual_ms), LATE_REPLY_FACTOR * late_ms)
 
 
 def _tick(state: Membership, now_ms: int) -> list[Command]:
