--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -317,11 +317,11 @@
             member.asked_ms = None
             member.since_ms = now_ms
     for member in list(state.members.values()):
-        commands += _judge(state, member, now_ms)
+        commands += _check_timeouts(state, member, now_ms)
     return commands + _beat(state, now_ms)
 
 
-def _judge(state: Membership, member: _Member, now_ms: int) -> list[Command]:
+def _check_timeouts(state: Membership, member: _Member, now_ms: int) -> list[Command]:
     update = member.update
     if update.status in (Status.ALIVE, Status.LEAVING):
         unanswered = member.asked_ms is not None
