--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -179,7 +179,7 @@
     """Announce that this node is leaving but still serves, or, if `gone`, that it has left."""
     status = Status.LEFT if gone else Status.LEAVING
     state.me = attrs.evolve(state.me, incarnation=state.me.incarnation + 1, status=status)
-    return _beat(state, now_ms)
+    return _send_heartbeats(state, now_ms)
 
 
 def step(state: Membership, event: Event, now_ms: int) -> list[Command]:
@@ -318,7 +318,7 @@
             member.since_ms = now_ms
     for member in list(state.members.values()):
         commands += _check_timeouts(state, member, now_ms)
-    return commands + _beat(state, now_ms)
+    return commands + _send_heartbeats(state, now_ms)
 
 
 def _check_timeouts(state: Membership, member: _Member, now_ms: int) -> list[Command]:
@@ -335,7 +335,7 @@
     return []
 
 
-def _beat(state: Membership, now_ms: int) -> list[Command]:
+def _send_heartbeats(state: Membership, now_ms: int) -> list[Command]:
     state.beats += 1
     updates = _pick_updates(state)
     beat = Heartbeat(state.me, updates, state.digest, state.fresh_age_ms)
