--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -250,10 +250,10 @@
     state.members[update.name] = member
     if update.status is was:
         return []
-    return [MemberChanged(update.name, update.status), *_spread_now(state, update)]
+    return [MemberChanged(update.name, update.status), *_gossip_update(state, update)]
 
 
-def _spread_now(state: Membership, update: MemberUpdate) -> list[Command]:
+def _gossip_update(state: Membership, update: MemberUpdate) -> list[Command]:
     """Send an update to a few random members; heartbeats alone pass it on one ring hop a period."""
     others = [
         member.update.address
