--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -244,7 +244,7 @@
     if known is not None and not _newer(update, known.update):
         return []
     was = known.update.status if known else None
-    member = _Member(update, now_ms, now_ms, spread_left=_spread_count(state))
+    member = _Member(update, now_ms, now_ms, spread_left=_gossip_count(state))
     if known is not None and update.status in (Status.SUSPECT, Status.DEAD):
         member.heard_ms = known.heard_ms
     state.members[update.name] = member
@@ -280,7 +280,7 @@
     return _RANK[update.status] > _RANK[known.status]
 
 
-def _spread_count(state: Membership) -> int:
+def _gossip_count(state: Membership) -> int:
     return 2 + math.ceil(math.log2(len(state.members) + 2))
 
 
