--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -191,7 +191,7 @@
             return _take_heartbeat(state, event, now_ms)
         case HeartbeatReply():
             commands = _take_update(state, event.sender, now_ms)
-            _learn_reply(state, event.sender.name, now_ms)
+            _record_reply_time(state, event.sender.name, now_ms)
             _note_heard(state, event.sender.name, now_ms)
             return commands + _take_updates(state, event.updates, now_ms)
         case Tick():
@@ -291,7 +291,7 @@
         member.asked_ms = None
 
 
-def _learn_reply(state: Membership, name: str, now_ms: int) -> None:
+def _record_reply_time(state: Membership, name: str, now_ms: int) -> None:
     member = state.members.get(name)
     if member is not None and member.asked_ms is not None:
         state.reply_ms.add(float(now_ms - member.asked_ms))
