--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -192,7 +192,7 @@
         case HeartbeatReply():
             commands = _take_update(state, event.sender, now_ms)
             _record_reply_time(state, event.sender.name, now_ms)
-            _note_heard(state, event.sender.name, now_ms)
+            _record_contact(state, event.sender.name, now_ms)
             return commands + _take_updates(state, event.updates, now_ms)
         case Tick():
             return _tick(state, now_ms)
@@ -215,7 +215,7 @@
     known = state.members.get(event.sender.name)
     joining = known is None or known.update.incarnation < event.sender.incarnation
     commands = _take_update(state, event.sender, now_ms)
-    _note_heard(state, event.sender.name, now_ms)
+    _record_contact(state, event.sender.name, now_ms)
     commands += _take_updates(state, event.updates, now_ms)
     updates = _all_updates(state) if joining else _pick_updates(state)
     told = state.members.get(event.sender.name)
@@ -284,7 +284,7 @@
     return 2 + math.ceil(math.log2(len(state.members) + 2))
 
 
-def _note_heard(state: Membership, name: str, now_ms: int) -> None:
+def _record_contact(state: Membership, name: str, now_ms: int) -> None:
     member = state.members.get(name)
     if member is not None:
         member.heard_ms = now_ms
