--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -297,7 +297,7 @@
         state.reply_ms.add(float(now_ms - member.asked_ms))
 
 
-def _patience_ms(state: Membership, usual_ms: int) -> float:
+def _extended_timeout_ms(state: Membership, usual_ms: int) -> float:
     """A timeout extended up to twofold while replies are late on average.
 
     Late replies from all members indicate that this node itself is slow. Replies within
@@ -325,11 +325,11 @@
     update = member.update
     if update.status in (Status.ALIVE, Status.LEAVING):
         unanswered = member.asked_ms is not None
-        wait_ms = _patience_ms(state, state.suspect_after_ms)
+        wait_ms = _extended_timeout_ms(state, state.suspect_after_ms)
         if unanswered and now_ms - (member.asked_ms or 0) >= wait_ms:
             return _take_update(state, attrs.evolve(update, status=Status.SUSPECT), now_ms)
     if update.status is Status.SUSPECT:
-        wait_ms = _patience_ms(state, state.dead_after_ms - state.suspect_after_ms)
+        wait_ms = _extended_timeout_ms(state, state.dead_after_ms - state.suspect_after_ms)
         if now_ms - member.since_ms >= wait_ms:
             return _take_update(state, attrs.evolve(update, status=Status.DEAD), now_ms)
     return []
