--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -241,7 +241,7 @@
     if update.region != state.me.region:
         return []
     known = state.members.get(update.name)
-    if known is not None and not _newer(update, known.update):
+    if known is not None and not _supersedes(update, known.update):
         return []
     was = known.update.status if known else None
     member = _Member(update, now_ms, now_ms, spread_left=_gossip_count(state))
@@ -274,7 +274,7 @@
         state.me = attrs.evolve(state.me, incarnation=update.incarnation + 1)
 
 
-def _newer(update: MemberUpdate, known: MemberUpdate) -> bool:
+def _supersedes(update: MemberUpdate, known: MemberUpdate) -> bool:
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return _RANK[update.status] > _RANK[known.status]
