--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -186,7 +186,7 @@
     """Apply one event."""
     match event:
         case Listed():
-            return _take_list(state, event, now_ms)
+            return _apply_list(state, event, now_ms)
         case Heartbeat():
             return _take_heartbeat(state, event, now_ms)
         case HeartbeatReply():
@@ -198,7 +198,7 @@
             return _tick(state, now_ms)
 
 
-def _take_list(state: Membership, event: Listed, now_ms: int) -> list[Command]:
+def _apply_list(state: Membership, event: Listed, now_ms: int) -> list[Command]:
     listed = {vm.name: vm for vm in event.vms if vm.region == state.me.region and not vm.endpoint}
     for name, vm in listed.items():
         if name != state.me.name and name not in state.members:
