--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -188,7 +188,7 @@
         case Listed():
             return _apply_list(state, event, now_ms)
         case Heartbeat():
-            return _take_heartbeat(state, event, now_ms)
+            return _handle_heartbeat(state, event, now_ms)
         case HeartbeatReply():
             commands = _take_update(state, event.sender, now_ms)
             _record_reply_time(state, event.sender.name, now_ms)
@@ -211,7 +211,7 @@
     return []
 
 
-def _take_heartbeat(state: Membership, event: Heartbeat, now_ms: int) -> list[Command]:
+def _handle_heartbeat(state: Membership, event: Heartbeat, now_ms: int) -> list[Command]:
     known = state.members.get(event.sender.name)
     joining = known is None or known.update.incarnation < event.sender.incarnation
     commands = _take_update(state, event.sender, now_ms)
