--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -193,7 +193,7 @@
             commands = _take_update(state, event.sender, now_ms)
             _record_reply_time(state, event.sender.name, now_ms)
             _record_contact(state, event.sender.name, now_ms)
-            return commands + _take_updates(state, event.updates, now_ms)
+            return commands + _apply_updates(state, event.updates, now_ms)
         case Tick():
             return _tick(state, now_ms)
 
@@ -216,7 +216,7 @@
     joining = known is None or known.update.incarnation < event.sender.incarnation
     commands = _take_update(state, event.sender, now_ms)
     _record_contact(state, event.sender.name, now_ms)
-    commands += _take_updates(state, event.updates, now_ms)
+    commands += _apply_updates(state, event.updates, now_ms)
     updates = _all_updates(state) if joining else _pick_updates(state)
     told = state.members.get(event.sender.name)
     if told is not None and told.update.status not in (Status.ALIVE, Status.LEAVING):
@@ -225,7 +225,7 @@
     return [*commands, Send(event.sender.address, reply)]
 
 
-def _take_updates(
+def _apply_updates(
     state: Membership, updates: tuple[MemberUpdate, ...], now_ms: int
 ) -> list[Command]:
     commands: list[Command] = []
