--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -190,7 +190,7 @@
         case Heartbeat():
             return _handle_heartbeat(state, event, now_ms)
         case HeartbeatReply():
-            commands = _take_update(state, event.sender, now_ms)
+            commands = _apply_update(state, event.sender, now_ms)
             _record_reply_time(state, event.sender.name, now_ms)
             _record_contact(state, event.sender.name, now_ms)
             return commands + _apply_updates(state, event.updates, now_ms)
@@ -214,7 +214,7 @@
 def _handle_heartbeat(state: Membership, event: Heartbeat, now_ms: int) -> list[Command]:
     known = state.members.get(event.sender.name)
     joining = known is None or known.update.incarnation < event.sender.incarnation
-    commands = _take_update(state, event.sender, now_ms)
+    commands = _apply_update(state, event.sender, now_ms)
     _record_contact(state, event.sender.name, now_ms)
     commands += _apply_updates(state, event.updates, now_ms)
     updates = _all_updates(state) if joining else _pick_updates(state)
@@ -230,11 +230,11 @@
 ) -> list[Command]:
     commands: list[Command] = []
     for update in updates:
-        commands += _take_update(state, update, now_ms)
+        commands += _apply_update(state, update, now_ms)
     return commands
 
 
-def _take_update(state: Membership, update: MemberUpdate, now_ms: int) -> list[Command]:
+def _apply_update(state: Membership, update: MemberUpdate, now_ms: int) -> list[Command]:
     if update.name == state.me.name:
         _refute(state, update)
         return []
@@ -327,11 +327,11 @@
         unanswered = member.asked_ms is not None
         wait_ms = _extended_timeout_ms(state, state.suspect_after_ms)
         if unanswered and now_ms - (member.asked_ms or 0) >= wait_ms:
-            return _take_update(state, attrs.evolve(update, status=Status.SUSPECT), now_ms)
+            return _apply_update(state, attrs.evolve(update, status=Status.SUSPECT), now_ms)
     if update.status is Status.SUSPECT:
         wait_ms = _extended_timeout_ms(state, state.dead_after_ms - state.suspect_after_ms)
         if now_ms - member.since_ms >= wait_ms:
-            return _take_update(state, attrs.evolve(update, status=Status.DEAD), now_ms)
+            return _apply_update(state, attrs.evolve(update, status=Status.DEAD), now_ms)
     return []
 
 
