--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -340,14 +340,14 @@
     updates = _pick_updates(state)
     beat = Heartbeat(state.me, updates, state.digest, state.fresh_age_ms)
     commands: list[Command] = []
-    for member in _targets(state):
+    for member in _heartbeat_targets(state):
         if member.asked_ms is None:
             member.asked_ms = now_ms
         commands.append(Send(member.update.address, beat))
     return commands
 
 
-def _targets(state: Membership) -> list[_Member]:
+def _heartbeat_targets(state: Membership) -> list[_Member]:
     here = _position(state.me.name)
     ring = [m for m in state.members.values() if m.update.status not in (Status.DEAD, Status.LEFT)]
     ring.sort(key=lambda m: (_position(m.update.name) - here) % 2**64)
