--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -348,9 +348,9 @@
 
 
 def _heartbeat_targets(state: Membership) -> list[_Member]:
-    here = _position(state.me.name)
+    here = _ring_position(state.me.name)
     ring = [m for m in state.members.values() if m.update.status not in (Status.DEAD, Status.LEFT)]
-    ring.sort(key=lambda m: (_position(m.update.name) - here) % 2**64)
+    ring.sort(key=lambda m: (_ring_position(m.update.name) - here) % 2**64)
     targets = ring[:NEIGHBOURS]
     if len(ring) > NEIGHBOURS:
         targets.append(state.rng.choice(ring[NEIGHBOURS:]))
@@ -363,7 +363,7 @@
 
 
 @functools.lru_cache(maxsize=POSITION_CACHE_SIZE)
-def _position(name: str) -> int:
+def _ring_position(name: str) -> int:
     """A member's position on the ring; cached, since each heartbeat sorts all members by it."""
     return hash64(name)
 
