--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -48,7 +48,7 @@
 __all__ = ["Request", "due_ms", "step"]
 
 RESUMES_PER_ATTEMPT = 2
-MOST_ATTEMPTS = 6
+MAX_ATTEMPTS = 6
 MOST_DOUBLINGS = 3
 # The owner withdraws an expired KV result itself; the entry node allows for its message to arrive.
 KV_GRACE_MS = 100
@@ -286,7 +286,7 @@
     """Abandon the attempt and start another, unless an unrepeatable request may have run."""
     commands: list[Command] = _drop_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
-    too_many = request.attempt >= MOST_ATTEMPTS
+    too_many = request.attempt >= MAX_ATTEMPTS
     if too_many or request.too_late(now_ms) or (request.unrepeatable and executed):
         return commands + _finish(request, _give_up(request, failure or "failed"))
     if request.first_token_ms is not None and request.broke_ms is None:
