--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -49,7 +49,7 @@
 
 RESUMES_PER_ATTEMPT = 2
 MAX_ATTEMPTS = 6
-MOST_DOUBLINGS = 3
+MAX_BACKOFF_DOUBLINGS = 3
 # The owner withdraws an expired KV result itself; the entry node allows for its message to arrive.
 KV_GRACE_MS = 100
 # The entry node times a stalled transfer out first; the engine's own limit applies when the entry
@@ -326,7 +326,7 @@
 
 def _ask_due_ms(request: Request) -> int:
     """The time of the next resend to the owner, with exponential backoff."""
-    return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MOST_DOUBLINGS)
+    return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MAX_BACKOFF_DOUBLINGS)
 
 
 def _send_again(request: Request, now_ms: int) -> list[Command]:
