--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -142,14 +142,14 @@
             request.asks = 0
             return _send_again(request, now_ms)
         case LeaseLost():
-            return _lose_lease(request, now_ms)
+            return _handle_lease_loss(request, now_ms)
         case TokensArrived() | DecodeEnded() | DecodeBroken():
             return _step_decode(request, event, now_ms)
         case _:
             return _step_setup(request, event, now_ms)
 
 
-def _lose_lease(request: Request, now_ms: int) -> list[Command]:
+def _handle_lease_loss(request: Request, now_ms: int) -> list[Command]:
     """Retry a request whose grant is void; the engine reports the cancellation of a stream."""
     match request.phase:
         case Phase.WAITING:
