--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -247,14 +247,16 @@
             # total, or none, contradicts the tokens already delivered: the end isn't trusted.
             more = event.total is not None and event.total > request.delivered
             failure = "gap" if more else "wrong end"
-            return _broken(request, DecodeBroken(event.attempt, more, failure), now_ms)
+            return _handle_broken_stream(
+                request, DecodeBroken(event.attempt, more, failure), now_ms
+            )
         case DecodeBroken():
-            return _broken(request, event, now_ms)
+            return _handle_broken_stream(request, event, now_ms)
 
 
 def _deliver(request: Request, event: TokensArrived, now_ms: int) -> list[Command]:
     if event.offset > request.delivered:
-        return _broken(request, DecodeBroken(event.attempt, True, "gap"), now_ms)
+        return _handle_broken_stream(request, DecodeBroken(event.attempt, True, "gap"), now_ms)
     fresh = event.tokens[request.delivered - event.offset :]
     if not fresh:
         return []
@@ -268,7 +270,7 @@
     return [Deliver(fresh)]
 
 
-def _broken(request: Request, event: DecodeBroken, now_ms: int) -> list[Command]:
+def _handle_broken_stream(request: Request, event: DecodeBroken, now_ms: int) -> list[Command]:
     if event.engine_alive and request.resumes < RESUMES_PER_ATTEMPT:
         request.resumes += 1
         request.progress_ms = now_ms
@@ -309,13 +311,17 @@
         return _end(request, _give_up(request, "deadline"))
     idle_ms = now_ms - request.progress_ms
     if request.phase is Phase.TRANSFERRING and idle_ms >= request.transfer_limit_ms:
-        return _broken(request, DecodeBroken(request.attempt, False, "stalled"), now_ms)
+        return _handle_broken_stream(
+            request, DecodeBroken(request.attempt, False, "stalled"), now_ms
+        )
     if idle_ms >= request.stall_ms:
         if request.phase is Phase.PREFILLING:
             failed = (request.prefill_endpoint,)
             return _retry(request, now_ms, failed, "stalled", executed=True)
         if request.phase is Phase.DECODING:
-            return _broken(request, DecodeBroken(request.attempt, True, "stalled"), now_ms)
+            return _handle_broken_stream(
+                request, DecodeBroken(request.attempt, True, "stalled"), now_ms
+            )
     if request.phase is Phase.ASSIGNING and now_ms >= request.kv_expires_ms + KV_GRACE_MS:
         return _retry(request, now_ms, (), "expired", executed=True)
     if now_ms < _ask_due_ms(request):
