--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -140,7 +140,7 @@
             return _tick(request, now_ms)
         case OwnerChanged():
             request.asks = 0
-            return _send_again(request, now_ms)
+            return _resend(request, now_ms)
         case LeaseLost():
             return _handle_lease_loss(request, now_ms)
         case TokensArrived() | DecodeEnded() | DecodeBroken():
@@ -327,7 +327,7 @@
     if now_ms < _ask_due_ms(request):
         return []
     request.asks += 1
-    return _send_again(request, now_ms)
+    return _resend(request, now_ms)
 
 
 def _ask_due_ms(request: Request) -> int:
@@ -335,7 +335,7 @@
     return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MAX_BACKOFF_DOUBLINGS)
 
 
-def _send_again(request: Request, now_ms: int) -> list[Command]:
+def _resend(request: Request, now_ms: int) -> list[Command]:
     request.asked_ms = now_ms
     if request.phase is Phase.WAITING:
         return [AskOwner(request.attempt, request.attempt > 1)]
