--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -324,13 +324,13 @@
             )
     if request.phase is Phase.ASSIGNING and now_ms >= request.kv_expires_ms + KV_GRACE_MS:
         return _retry(request, now_ms, (), "expired", executed=True)
-    if now_ms < _ask_due_ms(request):
+    if now_ms < _resend_due_ms(request):
         return []
     request.asks += 1
     return _resend(request, now_ms)
 
 
-def _ask_due_ms(request: Request) -> int:
+def _resend_due_ms(request: Request) -> int:
     """The time of the next resend to the owner, with exponential backoff."""
     return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MAX_BACKOFF_DOUBLINGS)
 
@@ -348,9 +348,9 @@
     """The time at which the request next needs a `Tick`; an earlier one changes nothing."""
     match request.phase:
         case Phase.WAITING:
-            due = _ask_due_ms(request)
+            due = _resend_due_ms(request)
         case Phase.ASSIGNING:
-            due = min(_ask_due_ms(request), request.kv_expires_ms + KV_GRACE_MS)
+            due = min(_resend_due_ms(request), request.kv_expires_ms + KV_GRACE_MS)
         case Phase.TRANSFERRING:
             due = request.progress_ms + request.transfer_limit_ms
         case _:
