--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -131,7 +131,7 @@
         return []
     match event:
         case Started():
-            return _ask(request, now_ms, retry=False)
+            return _request_grant(request, now_ms, retry=False)
         case CallerGone():
             return _end(request, Cancelled())
         case RouterFailed():
@@ -296,10 +296,10 @@
     request.attempt += 1
     request.resumes = 0
     request.prefill_endpoint = request.decode_endpoint = request.kv_id = ""
-    return commands + _ask(request, now_ms, retry=True)
+    return commands + _request_grant(request, now_ms, retry=True)
 
 
-def _ask(request: Request, now_ms: int, retry: bool) -> list[Command]:
+def _request_grant(request: Request, now_ms: int, retry: bool) -> list[Command]:
     request.phase = Phase.WAITING
     request.asked_ms = now_ms
     request.asks = 0
