--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -135,7 +135,7 @@
         case CallerGone():
             return _end(request, Cancelled())
         case RouterFailed():
-            return _end(request, _give_up(request, "router failed"))
+            return _end(request, _failure_outcome(request, "router failed"))
         case Tick():
             return _tick(request, now_ms)
         case OwnerChanged():
@@ -165,7 +165,7 @@
         case GrantReceived(), Phase.WAITING:
             return _start_prefill(request, event.endpoint, now_ms)
         case RefusalReceived(), Phase.WAITING:
-            return _end(request, _give_up(request, event.reason, event.retry_after_ms))
+            return _end(request, _failure_outcome(request, event.reason, event.retry_after_ms))
         case PrefillEnded(), Phase.PREFILLING:
             request.phase = Phase.ASSIGNING
             request.kv_id = event.kv_id
@@ -290,7 +290,7 @@
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
     too_many = request.attempt >= MAX_ATTEMPTS
     if too_many or request.too_late(now_ms) or (request.unrepeatable and executed):
-        return commands + _finish(request, _give_up(request, failure or "failed"))
+        return commands + _finish(request, _failure_outcome(request, failure or "failed"))
     if request.first_token_ms is not None and request.broke_ms is None:
         request.broke_ms = now_ms
     request.attempt += 1
@@ -308,7 +308,7 @@
 
 def _tick(request: Request, now_ms: int) -> list[Command]:
     if request.too_late(now_ms):
-        return _end(request, _give_up(request, "deadline"))
+        return _end(request, _failure_outcome(request, "deadline"))
     idle_ms = now_ms - request.progress_ms
     if request.phase is Phase.TRANSFERRING and idle_ms >= request.transfer_limit_ms:
         return _handle_broken_stream(
@@ -358,7 +358,9 @@
     return due if request.next_due_ms is None else min(due, request.next_due_ms)
 
 
-def _give_up(request: Request, reason: str, retry_after_ms: int = RETRY_AFTER_MS) -> Outcome:
+def _failure_outcome(
+    request: Request, reason: str, retry_after_ms: int = RETRY_AFTER_MS
+) -> Outcome:
     if request.dispatched:
         return Unknown(reason)
     return NotRun(reason, retry_after_ms)
