--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -286,7 +286,7 @@
     request: Request, now_ms: int, failed: tuple[str, ...], failure: str, executed: bool
 ) -> list[Command]:
     """Abandon the attempt and start another, unless an unrepeatable request may have run."""
-    commands: list[Command] = _drop_attempt(request, failed, failure)
+    commands: list[Command] = _release_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
     too_many = request.attempt >= MAX_ATTEMPTS
     if too_many or request.too_late(now_ms) or (request.unrepeatable and executed):
@@ -366,7 +366,7 @@
     return NotRun(reason, retry_after_ms)
 
 
-def _drop_attempt(
+def _release_attempt(
     request: Request, failed: tuple[str, ...] = (), failure: str = ""
 ) -> list[Command]:
     if request.holds_prefill:
@@ -381,7 +381,7 @@
     if isinstance(outcome, Completed):
         release = ReleaseGrant(request.attempt, finished=True)
         return [release, *_finish(request, outcome)]
-    return _drop_attempt(request) + _finish(request, outcome)
+    return _release_attempt(request) + _finish(request, outcome)
 
 
 def _finish(request: Request, outcome: Outcome) -> list[Command]:
