--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -118,7 +118,7 @@
             return None
         return self.broke_ms + self.deadline_ms - self.arrived_ms
 
-    def too_late(self, now_ms: int) -> bool:
+    def deadline_passed(self, now_ms: int) -> bool:
         """True when the deadline of the next token has passed."""
         return self.next_due_ms is not None and now_ms >= self.next_due_ms
 
@@ -289,7 +289,7 @@
     commands: list[Command] = _release_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
     too_many = request.attempt >= MAX_ATTEMPTS
-    if too_many or request.too_late(now_ms) or (request.unrepeatable and executed):
+    if too_many or request.deadline_passed(now_ms) or (request.unrepeatable and executed):
         return commands + _finish(request, _failure_outcome(request, failure or "failed"))
     if request.first_token_ms is not None and request.broke_ms is None:
         request.broke_ms = now_ms
@@ -307,7 +307,7 @@
 
 
 def _tick(request: Request, now_ms: int) -> list[Command]:
-    if request.too_late(now_ms):
+    if request.deadline_passed(now_ms):
         return _end(request, _failure_outcome(request, "deadline"))
     idle_ms = now_ms - request.progress_ms
     if request.phase is Phase.TRANSFERRING and idle_ms >= request.transfer_limit_ms:
