--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -83,7 +83,7 @@
     progress_ms: int = 0
     first_token_ms: int | None = None
     last_token_ms: int = 0
-    broke_ms: int | None = None
+    broken_since_ms: int | None = None
     prefill_ms: int = 0
     cached_tokens: int = 0
     kv_expires_ms: int = 0
@@ -114,9 +114,9 @@
         """
         if self.first_token_ms is None:
             return self.deadline_ms
-        if self.broke_ms is None:
+        if self.broken_since_ms is None:
             return None
-        return self.broke_ms + self.deadline_ms - self.arrived_ms
+        return self.broken_since_ms + self.deadline_ms - self.arrived_ms
 
     def deadline_passed(self, now_ms: int) -> bool:
         """True when the deadline of the next token has passed."""
@@ -265,7 +265,7 @@
     if request.first_token_ms is None:
         request.first_token_ms = now_ms
     request.last_token_ms = now_ms
-    request.broke_ms = None
+    request.broken_since_ms = None
     request.progress_ms = now_ms
     return [Deliver(fresh)]
 
@@ -291,8 +291,8 @@
     too_many = request.attempt >= MAX_ATTEMPTS
     if too_many or request.deadline_passed(now_ms) or (request.unrepeatable and executed):
         return commands + _finish(request, _failure_outcome(request, failure or "failed"))
-    if request.first_token_ms is not None and request.broke_ms is None:
-        request.broke_ms = now_ms
+    if request.first_token_ms is not None and request.broken_since_ms is None:
+        request.broken_since_ms = now_ms
     request.attempt += 1
     request.resumes = 0
     request.prefill_endpoint = request.decode_endpoint = request.kv_id = ""
