--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-EVENTS_HELD = 1024
+EVENT_QUEUE_SIZE = 1024
 STREAM_IDLE_MS = 3000
 _BROKEN = (
     httpcore.NetworkError,
@@ -78,7 +78,7 @@
         self._answered: list[str] = []
         self._endpoints = {endpoint.name: endpoint for endpoint in job.cell.endpoints}
         self._outbox, self._inbox = anyio.create_memory_object_stream[request_events.Event](
-            EVENTS_HELD
+            EVENT_QUEUE_SIZE
         )
 
     def post(self, event: request_events.Event) -> None:
