--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -21,7 +21,7 @@
 from saffronworks.request_events import Phase
 from saffronworks.requests import Request
 
-__all__ = ["Job", "Owners", "RequestRunner", "Sink"]
+__all__ = ["Job", "OwnerClient", "RequestRunner", "Sink"]
 
 logger = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         """Deliver the next tokens, in order."""
 
 
-class Owners(Protocol):
+class OwnerClient(Protocol):
     """Connection to the owners of cells."""
 
     def tell_owner(self, cell: str, message: object) -> None:
@@ -67,7 +67,7 @@
     """Drives one `Request` to its outcome."""
 
     def __init__(
-        self, kernel: Kernel, owners: Owners, engines: EngineClient, request: Request, job: Job
+        self, kernel: Kernel, owners: OwnerClient, engines: EngineClient, request: Request, job: Job
     ):
         self.request = request
         self.job = job
