--- a/saffronworks/entries.py
+++ b/saffronworks/entries.py
@@ -68,7 +68,7 @@
             async for message in mailbox:
                 self._take(kernel, message)
 
-    def tell_owner(self, cell: str, message: object) -> None:
+    def send_to_owner(self, cell: str, message: object) -> None:
         """Send to the owner of a cell, which may be this node."""
         kernel = self._kernel
         if kernel is None:
@@ -158,7 +158,7 @@
                 digest = 0
                 for value in hashes:
                     digest ^= value
-                self.tell_owner(
+                self.send_to_owner(
                     cell,
                     LeaseRenewal(kernel.node, cell, self._incarnation, len(hashes), digest),
                 )
@@ -167,4 +167,4 @@
     def _list_held(self, kernel: Kernel, cell: str) -> None:
         items = [r.held() for r in self.runners.values() if r.job.cell.name == cell]
         held = tuple(item for item in items if item is not None)
-        self.tell_owner(cell, HeldList(kernel.node, cell, held))
+        self.send_to_owner(cell, HeldList(kernel.node, cell, held))
--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -46,7 +46,7 @@
 class OwnerClient(Protocol):
     """Connection to the owners of cells."""
 
-    def tell_owner(self, cell: str, message: object) -> None:
+    def send_to_owner(self, cell: str, message: object) -> None:
         """Send a message to the cell's owner, which may be this node."""
 
 
@@ -170,7 +170,7 @@
             self._kernel.post("cancels", order)
 
     def _tell(self, message: Ask | Prefilled | Release) -> None:
-        self._owners.tell_owner(self.job.cell.name, message)
+        self._owners.send_to_owner(self.job.cell.name, message)
 
     def _ask(self, command: request_events.AskOwner) -> Ask:
         request = self.request
--- a/saffronworks/tests/request_path.py
+++ b/saffronworks/tests/request_path.py
@@ -69,7 +69,7 @@
 
     prefill, decode = "p", "d"
 
-    def tell_owner(self, cell, message):
+    def send_to_owner(self, cell, message):
         match message:
             case Ask(key=key):
                 event = request_events.GrantReceived(key.attempt, self.prefill)
