--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -153,11 +153,11 @@
     def _perform_now(self, command: request_events.Command) -> None:
         match command:
             case request_events.AskOwner():
-                self._tell(self._ask(command))
+                self._send(self._ask(command))
             case request_events.TellPrefilled():
-                self._tell(self._prefilled(command))
+                self._send(self._prefilled(command))
             case request_events.ReleaseGrant():
-                self._tell(self._release(command))
+                self._send(self._release(command))
             case request_events.CancelAt():
                 self._cancel(command)
 
@@ -169,7 +169,7 @@
             order = CancelOrder(command.endpoint, endpoint.address, key)
             self._kernel.post("cancels", order)
 
-    def _tell(self, message: Ask | Prefilled | Release) -> None:
+    def _send(self, message: Ask | Prefilled | Release) -> None:
         self._owners.send_to_owner(self.job.cell.name, message)
 
     def _ask(self, command: request_events.AskOwner) -> Ask:
