--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -262,13 +262,13 @@
             offset=command.offset,
             import_within_ms=command.import_within_ms,
         )
-        await self._follow(command.endpoint, call)
+        await self._read_stream(command.endpoint, call)
 
     async def _resume(self, command: request_events.ResumeDecode) -> None:
         call = Resume(self.request.request_id, command.attempt, command.offset)
-        await self._follow(command.endpoint, call)
+        await self._read_stream(command.endpoint, call)
 
-    async def _follow(self, name: str, call: Decode | Resume) -> None:
+    async def _read_stream(self, name: str, call: Decode | Resume) -> None:
         """Read a decode stream to its end; any failure is reported as one event."""
         endpoint: Endpoint | None = self._endpoints.get(name)
         address = endpoint.address if endpoint else "127.0.0.1:0"
