--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -278,7 +278,7 @@
         try:
             async with self._engines.open_decode(address, call, STREAM_IDLE_MS) as opened:
                 if isinstance(opened, Err):
-                    await self._outbox.send(_refused(call, opened.err_value))
+                    await self._outbox.send(_open_failure(call, opened.err_value))
                     return
                 opened_ok = True
                 async for line in opened.ok_value:
@@ -307,7 +307,7 @@
     return request_events.TokensArrived(attempt, line.offset, line.tokens)
 
 
-def _refused(call: Decode | Resume, failure: EngineFailure) -> request_events.Event:
+def _open_failure(call: Decode | Resume, failure: EngineFailure) -> request_events.Event:
     if isinstance(call, Resume):
         return request_events.DecodeBroken(call.attempt, engine_alive=False, failure=failure.kind)
     kv_lost = failure.status in (409, 410)
