--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -125,13 +125,13 @@
                         break
         except Exception:
             logger.exception("event=request_failed request=%s", self.request.request_id)
-            self._abandon(request_events.RouterFailed())
+            self._end_early(request_events.RouterFailed())
         finally:
-            self._abandon(request_events.CallerGone())
+            self._end_early(request_events.CallerGone())
         assert self.request.outcome is not None
         return self.request.outcome
 
-    def _abandon(self, event: request_events.CallerGone | request_events.RouterFailed) -> None:
+    def _end_early(self, event: request_events.CallerGone | request_events.RouterFailed) -> None:
         """Cancel engine work and release the grant when the task ends before the request."""
         for command in requests.step(self.request, event, self._kernel.now_ms()):
             self._perform_now(command)
