--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_AGAIN_S = 0.4
+RESEND_INTERVAL_S = 0.4
 LIMIT_S = 4.0
 TICK_S = 0.05
 
@@ -53,7 +53,7 @@
             with anyio.move_on_after(LIMIT_S):
                 while pair not in self._results:
                     self._send(key, ClaimAsk(key, request_id, self._node()))
-                    with anyio.move_on_after(ASK_AGAIN_S):
+                    with anyio.move_on_after(RESEND_INTERVAL_S):
                         await self._replies[pair].wait()
             result = self._results.pop(pair, None)
         finally:
