--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 RESEND_INTERVAL_S = 0.4
-LIMIT_S = 4.0
+CLAIM_TIMEOUT_S = 4.0
 TICK_S = 0.05
 
 
@@ -46,11 +46,11 @@
         self._work = anyio.Event()
 
     async def claim(self, key: str, request_id: str) -> claims.Result:
-        """Claim the key, with resends; after `LIMIT_S` the result is `Unrecorded`."""
+        """Claim the key, with resends; after `CLAIM_TIMEOUT_S` the result is `Unrecorded`."""
         pair = (key, request_id)
         self._replies[pair] = anyio.Event()
         try:
-            with anyio.move_on_after(LIMIT_S):
+            with anyio.move_on_after(CLAIM_TIMEOUT_S):
                 while pair not in self._results:
                     self._send(key, ClaimAsk(key, request_id, self._node()))
                     with anyio.move_on_after(RESEND_INTERVAL_S):
