--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -83,7 +83,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel, tasks)
             async for message in mailbox:
-                self._take(kernel, tasks, message)
+                self._handle(kernel, tasks, message)
 
     def _node(self) -> str:
         assert self._kernel is not None
@@ -95,7 +95,7 @@
         home = members.owner_of(claims.shard_of(key))
         members.send(self._kernel, home or self._kernel.node, message)
 
-    def _take(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
+    def _handle(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
         match message:
             case ClaimAsk():
                 asked = claims.ClaimRequested(message.key, message.request_id, message.node)
