--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -104,11 +104,11 @@
                 settled = claims.Settled(message.key, message.request_id)
                 self._step(kernel, tasks, claims.shard_of(message.key), settled)
             case ClaimReply():
-                self._take_reply(message)
+                self._handle_reply(message)
             case _ShardEvent():
                 self._step(kernel, tasks, message.shard, message.event)
 
-    def _take_reply(self, reply: ClaimReply) -> None:
+    def _handle_reply(self, reply: ClaimReply) -> None:
         pair = (reply.key, reply.request_id)
         if pair not in self._replies:
             return
