--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -155,10 +155,10 @@
     async def _write(self, kernel: Kernel, name: str, command: claims.Write) -> None:
         content = claims.write_records(command.records)
         reply = await self._store.put(name, content, command.expected)
-        kernel.post(self.name, _ShardEvent(name, _read_write(reply)))
+        kernel.post(self.name, _ShardEvent(name, _write_event(reply)))
 
 
-def _read_write(reply: Result[int, stores.Moved | stores.StoreFailure]) -> claims.Event:
+def _write_event(reply: Result[int, stores.Moved | stores.StoreFailure]) -> claims.Event:
     match reply:
         case Ok(version):
             return claims.WriteDone(version)
