--- a/saffronworks/fences.py
+++ b/saffronworks/fences.py
@@ -15,7 +15,7 @@
 logger = logging.getLogger(__name__)
 
 FENCE_PREFIX = "fences/"
-MOST_TRIES = 3
+MAX_TRIES = 3
 
 
 class FenceKeeper:
@@ -28,7 +28,7 @@
     async def take(self, cell: str) -> Result[int, str]:
         """Acquire a token above all earlier ones, or the error; a lost reply wastes one."""
         expected = 0
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_TRIES):
             reply = await self._store.put(FENCE_PREFIX + cell, self._node, expected)
             if isinstance(reply, Ok):
                 logger.info(
