--- a/saffronworks/fences.py
+++ b/saffronworks/fences.py
@@ -25,7 +25,7 @@
         self._node = node
         self._store = store
 
-    async def take(self, cell: str) -> Result[int, str]:
+    async def acquire(self, cell: str) -> Result[int, str]:
         """Acquire a token above all earlier ones, or the error; a lost reply wastes one."""
         expected = 0
         for _ in range(MAX_TRIES):
--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -180,7 +180,7 @@
             kernel.post("cancels", CancelOrder(endpoint, address, key, state.cell.name))
 
     async def _take_fence(self, kernel: Kernel, name: str) -> None:
-        taken = await self._fences.take(name)
+        taken = await self._fences.acquire(name)
         if isinstance(taken, Ok):
             kernel.post(self.name, _EndpointEvent(name, cell_events.FenceTaken(taken.ok_value)))
 
--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -254,7 +254,7 @@
         engine = site.engines["prefill-1"]
         fences = []
         for node in site.nodes[:2]:
-            taken = await FenceKeeper(node.settings.name, node.store).take("c")
+            taken = await FenceKeeper(node.settings.name, node.store).acquire("c")
             fences.append(taken.unwrap())
         context.held = await FenceKeeper("x", site.nodes[0].store).holds("c", fences[0])
         context.replies = []
