--- a/saffronworks/fences.py
+++ b/saffronworks/fences.py
@@ -41,7 +41,7 @@
             expected = failure.version
         return Err("fence contention: other nodes kept updating it")
 
-    async def holds(self, cell: str, fence: int) -> bool:
+    async def is_current(self, cell: str, fence: int) -> bool:
         """True when the store confirms that no higher token exists, False if the read fails."""
         reply = await self._store.get(FENCE_PREFIX + cell)
         if isinstance(reply, Err) or reply.ok_value is None:
--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -188,7 +188,7 @@
         self, kernel: Kernel, name: str, address: str, command: cell_events.OrderRole
     ) -> None:
         """Give an order; a call without a clear answer tells nothing, and is made again."""
-        if command.recheck and not await self._fences.holds(name, command.fence):
+        if command.recheck and not await self._fences.is_current(name, command.fence):
             kernel.post(
                 self.name, _EndpointEvent(name, cell_events.RoleOrdered(command.endpoint, False))
             )
--- a/saffronworks/tests/features/steps/roles_steps.py
+++ b/saffronworks/tests/features/steps/roles_steps.py
@@ -256,7 +256,7 @@
         for node in site.nodes[:2]:
             taken = await FenceKeeper(node.settings.name, node.store).acquire("c")
             fences.append(taken.unwrap())
-        context.held = await FenceKeeper("x", site.nodes[0].store).holds("c", fences[0])
+        context.held = await FenceKeeper("x", site.nodes[0].store).is_current("c", fences[0])
         context.replies = []
         for fence, role in ((fences[1], "decode"), (fences[0], "prefill")):
             context.replies.append(await client.order(engine.address, Order(role, fence, 1)))
