--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -1,11 +1,11 @@
 """Claims on `Idempotency-Key`s: at most one request runs for each key, across all nodes.
 
 Claims are stored in `SHARDS` objects of the store. The owner of a shard, a node chosen by hash,
-writes all pending claims in one conditional update, at most every `GATHER_MS`, which bounds the
-write rate of the whole fleet. The store alone decides: two nodes that both act as owner for a
-moment cause write conflicts, and never grant a key twice. This module is the state machine of one
-shard at its owner, free of I/O; `now_ms` is wall-clock time, since claims outlive the nodes that
-wrote them.
+writes all pending claims in one conditional update, at most every `WRITE_INTERVAL_MS`, which
+bounds the write rate of the whole fleet. The store alone decides: two nodes that both act as owner
+for a moment cause write conflicts, and never grant a key twice. This module is the state machine
+of one shard at its owner, free of I/O; `now_ms` is wall-clock time, since claims outlive the nodes
+that wrote them.
 """
 
 import attrs
@@ -41,7 +41,7 @@
 ]
 
 SHARDS = 64
-GATHER_MS = 200
+WRITE_INTERVAL_MS = 200
 CLAIM_KEPT_MS = 600_000
 # The store limits a value to 1 MB, and a record takes up to 130 bytes.
 MAX_CLAIMS = 7000
@@ -297,7 +297,7 @@
     written = state.writing or {}
     state.version, state.records, state.writing = version, written, None
     state.tries = 0
-    state.next_try_ms = now_ms + GATHER_MS
+    state.next_try_ms = now_ms + WRITE_INTERVAL_MS
     kept = {(key, record.request_id) for key, record in written.items()}
     state.settled &= kept
     done = [pair for pair in state.batch if pair in state.waiting]
--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -174,7 +174,7 @@
 def gathered(context):
     early = claims.step(context.state, claims.ClaimRequested("next", "r", "n"), 1_000_000 + 1)
     assert not early, early
-    due_ms = 1_000_000 + claims.GATHER_MS
+    due_ms = 1_000_000 + claims.WRITE_INTERVAL_MS
     (write,) = claims.step(context.state, claims.Tick(), due_ms)
     claims.step(context.state, context.store.act(write), due_ms)
     assert "next" in context.store.records
@@ -191,7 +191,7 @@
     for number in range(6):
         world.feed(number % 2, claims.ClaimRequested(f"k{number}", f"r{number}", "n"))
         world.settle_calls()
-        world.now_ms += claims.GATHER_MS
+        world.now_ms += claims.WRITE_INTERVAL_MS
 
 
 @then("both record their claims, and each knows those of the other")
@@ -205,7 +205,7 @@
 
 @then("after the time that claims are kept the next write leaves them out")
 def pruned(context):
-    later_ms = 1_000_000 + claims.GATHER_MS + claims.CLAIM_KEPT_MS
+    later_ms = 1_000_000 + claims.WRITE_INTERVAL_MS + claims.CLAIM_KEPT_MS
     commands = claims.step(context.state, claims.ClaimRequested("new", "r", "n"), later_ms)
     assert [list(command.records) for command in commands] == [["new"]], commands
 
--- a/tools/claim_bench.py
+++ b/tools/claim_bench.py
@@ -65,7 +65,7 @@
 
 def print_claims() -> None:
     """Print the table."""
-    print(f"Claims: {claims.SHARDS} shards, written each {claims.GATHER_MS} ms at most.")
+    print(f"Claims: {claims.SHARDS} shards, written each {claims.WRITE_INTERVAL_MS} ms at most.")
     print(
         f"{'claims/s':>8} {'writes/s':>9} {'a claim':>8} {'reads':>6} {'MB/s':>6} "
         f"{'wait p50 ms':>12} {'p99':>7}"
