--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -187,13 +187,13 @@
 class ClaimShard:
     """State of one shard at its owner. `version` is None when the shard must be read.
 
-    `waiting` holds pending claims by (key, request id), each with its arrival time; `settled` the
+    `pending` holds unanswered claims by (key, request id) with their arrival times; `settled` the
     pairs whose claims must be removed; `batch` the pairs added by the write in flight.
     """
 
     version: int | None = None
     records: dict[str, ClaimRecord] = attrs.Factory(dict)
-    waiting: dict[_Pair, tuple[ClaimRequested, int]] = attrs.Factory(dict)
+    pending: dict[_Pair, tuple[ClaimRequested, int]] = attrs.Factory(dict)
     settled: set[_Pair] = attrs.Factory(set)
     writing: dict[str, ClaimRecord] | None = None
     batch: tuple[_Pair, ...] = ()
@@ -204,7 +204,7 @@
     @property
     def idle(self) -> bool:
         """True when no store call is in flight and nothing is pending."""
-        return not (self.waiting or self.settled or self.reading or self.writing is not None)
+        return not (self.pending or self.settled or self.reading or self.writing is not None)
 
 
 def step(state: ClaimShard, event: Event, now_ms: int) -> list[Command]:
@@ -214,7 +214,7 @@
         case ClaimRequested():
             commands += _add_claim(state, event, now_ms)
         case Settled():
-            state.waiting.pop((event.key, event.request_id), None)
+            state.pending.pop((event.key, event.request_id), None)
             state.settled.add((event.key, event.request_id))
         case ReadDone():
             state.reading = False
@@ -232,9 +232,9 @@
 
 def _add_claim(state: ClaimShard, asked: ClaimRequested, now_ms: int) -> list[Command]:
     pair = (asked.key, asked.request_id)
-    if pair in state.waiting or pair in state.settled:
+    if pair in state.pending or pair in state.settled:
         return []
-    state.waiting[pair] = (asked, now_ms)
+    state.pending[pair] = (asked, now_ms)
     return []
 
 
@@ -243,7 +243,7 @@
     if state.reading or state.writing is not None or now_ms < state.next_try_ms:
         return []
     if state.version is None:
-        state.reading = bool(state.waiting or state.settled)
+        state.reading = bool(state.pending or state.settled)
         return [Read()] if state.reading else []
     records = {
         key: record
@@ -254,7 +254,7 @@
     commands += _reject_excess(state, len(records))
     batch = _choose_batch(state, records)
     for key, request_id in batch:
-        asked, _ = state.waiting[(key, request_id)]
+        asked, _ = state.pending[(key, request_id)]
         records[key] = ClaimRecord(request_id, asked.node, now_ms)
     gone = any((key, record.request_id) in state.settled for key, record in state.records.items())
     if not batch and not gone:
@@ -267,7 +267,7 @@
 def _answer_known(state: ClaimShard, records: dict[str, ClaimRecord]) -> list[Command]:
     """Answer the pending claims whose key has an unexpired record."""
     commands: list[Command] = []
-    for key, request_id in list(state.waiting):
+    for key, request_id in list(state.pending):
         record = records.get(key)
         if record is None:
             continue
@@ -280,14 +280,14 @@
 
 def _reject_excess(state: ClaimShard, count: int) -> list[Command]:
     """Reject the pending claims that exceed the shard's capacity."""
-    beyond = list(state.waiting)[max(0, MAX_CLAIMS - count) :]
+    beyond = list(state.pending)[max(0, MAX_CLAIMS - count) :]
     return [_answer(state, pair, Unrecorded()) for pair in beyond]
 
 
 def _choose_batch(state: ClaimShard, records: dict[str, ClaimRecord]) -> tuple[_Pair, ...]:
     """The first pending claim of each free key; later ones wait for its outcome."""
     chosen: dict[str, str] = {}
-    for key, request_id in state.waiting:
+    for key, request_id in state.pending:
         if key not in records:
             chosen.setdefault(key, request_id)
     return tuple(chosen.items())
@@ -300,7 +300,7 @@
     state.next_try_ms = now_ms + WRITE_INTERVAL_MS
     kept = {(key, record.request_id) for key, record in written.items()}
     state.settled &= kept
-    done = [pair for pair in state.batch if pair in state.waiting]
+    done = [pair for pair in state.batch if pair in state.pending]
     return [_answer(state, pair, Claimed()) for pair in done]
 
 
@@ -320,10 +320,10 @@
     Claims that a write has stored stay: another owner may have granted them meanwhile, so only the
     requesting node can confirm that a request did not run.
     """
-    late = [pair for pair, (_, at_ms) in state.waiting.items() if now_ms - at_ms >= waited_ms]
+    late = [pair for pair, (_, at_ms) in state.pending.items() if now_ms - at_ms >= waited_ms]
     return [_answer(state, pair, Unrecorded()) for pair in late]
 
 
 def _answer(state: ClaimShard, pair: _Pair, result: Result) -> Answer:
-    asked, _ = state.waiting.pop(pair)
+    asked, _ = state.pending.pop(pair)
     return Answer(asked.node, asked.key, asked.request_id, result)
