--- a/saffronworks/claimants.py
+++ b/saffronworks/claimants.py
@@ -92,8 +92,8 @@
     def _send(self, key: str, message: ClaimAsk | ClaimSettle) -> None:
         assert self._kernel is not None
         members: MemberService = self._kernel.find("members")
-        home = members.owner_of(claims.shard_of(key))
-        members.send(self._kernel, home or self._kernel.node, message)
+        shard_owner = members.owner_of(claims.shard_of(key))
+        members.send(self._kernel, shard_owner or self._kernel.node, message)
 
     def _handle(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
         match message:
