--- a/saffronworks/frontends.py
+++ b/saffronworks/frontends.py
@@ -9,7 +9,7 @@
 
 from saffronworks import claims, request_events
 from saffronworks.bundles import Model
-from saffronworks.claimants import ClaimService
+from saffronworks.claim_service import ClaimService
 from saffronworks.completions import (
     CollectingSink,
     CompletionRequest,
--- a/saffronworks/nodes.py
+++ b/saffronworks/nodes.py
@@ -8,7 +8,7 @@
 from saffronworks import documents, membership, messages
 from saffronworks.burn import BurnRecorder
 from saffronworks.cancels import CancelDone, CancelService
-from saffronworks.claimants import ClaimService
+from saffronworks.claim_service import ClaimService
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.documents import (
     BucketDigests,
