--- a/saffronworks/tests/features/steps/requests_steps.py
+++ b/saffronworks/tests/features/steps/requests_steps.py
@@ -1,4 +1,4 @@
-"""Properties of the request core, driven by a faulty endpoint that keeps its own record."""
+"""Property tests of the request state machine against an endpoint with injected faults."""
 
 import attrs
 from behave import given, then, when
@@ -21,7 +21,7 @@
 
 @attrs.define
 class FaultyWorld:
-    """Endpoints that obey commands in faulty ways; it remembers what really ran."""
+    """Endpoints that execute commands with injected faults, and a record of what ran."""
 
     request: Request
     now_ms: int = 0
@@ -53,7 +53,7 @@
                 self.cancelled.add((command.attempt, command.endpoint))
 
     def act(self, choice, fault):
-        """Take one message out of the inbox and deal with it, well or badly."""
+        """Deliver one message from the inbox, with or without a fault."""
         if not self.inbox:
             self.now_ms += 300
             self.feed(request_events.Tick())
@@ -149,10 +149,10 @@
             assert tuple(world.delivered) == ANSWER
 
     for_all_orders(context.unrepeatable, check)
-    assert finished, "no order came to a whole answer"
+    assert finished, "no order of events gave a whole answer"
 
 
-@then("a request that is told not run was never taken by an endpoint")
+@then("a request with the outcome not-run was never accepted by an endpoint")
 def not_run_is_true(context):
     def check(world):
         if isinstance(world.request.outcome, request_events.NotRun):
@@ -169,7 +169,7 @@
     for_all_orders(context.unrepeatable, check)
 
 
-@then("at its end each endpoint that holds something was told to cancel")
+@then("each endpoint that held work for a request without a whole answer got a cancel")
 def all_cancelled(context):
     ended = []
 
@@ -183,7 +183,7 @@
         assert world.holding <= world.cancelled, (world.holding, world.cancelled)
 
     for_all_orders(context.unrepeatable, check)
-    assert request_events.Cancelled in ended, "no caller left in the middle"
+    assert request_events.Cancelled in ended, "no caller disconnected before the end"
 
 
 def run_commands(context, event, now_ms=10):
@@ -254,7 +254,7 @@
     assert context.commands == [request_events.ResumeDecode(1, "d", offset)], context.commands
 
 
-@then("nothing is commanded")
+@then("no command is returned")
 def nothing(context):
     assert context.commands == []
 
@@ -270,6 +270,6 @@
     context.commands = core.step(context.request, request_events.GrantReceived(1, "p"), now_ms)
 
 
-@then("the engine is told to begin within {left_ms:d} ms")
+@then("the prefill order says to begin within {left_ms:d} ms")
 def begin_within(context, left_ms):
     assert context.commands == [request_events.StartPrefill(1, "p", 0, left_ms)], context.commands
