--- a/saffronworks/tests/features/claims.feature
+++ b/saffronworks/tests/features/claims.feature
@@ -1,21 +1,21 @@
 Feature: a request with an Idempotency-Key runs at most once through any node
 
-  Scenario: any faults of the store let at most one request run
-    Given any order of claims, lost replies, late writes and outages at two homes
-    Then at most one request of a key may run, and a settled one makes room
+  Scenario: under any store faults at most one request of a key runs
+    Given any order of claims, lost replies, late writes and outages at two shard owners
+    Then at most one request of a key may run, and a settled claim frees its key
 
-  Scenario: a home that took over writes on, and the earlier one too
-    Given a shard with claims of an earlier home
-    When both homes are asked in turn
-    Then both record their claims, and each knows those of the other
+  Scenario: two nodes that both own a shard can write it in turn
+    Given a shard with two owners
+    When both owners get claims in turn
+    Then both record their claims, and each sees those of the other
 
-  Scenario: claims are written in groups, and old ones go
-    When 50 requests with keys of one shard come while the shard is read
+  Scenario: claims are written in batches, and expired ones are removed
+    When 50 requests with keys of one shard arrive while the shard is read
     Then all are recorded by one write
-    And the next group is written only when some time has passed
-    And after the time that claims are kept the next write leaves them out
-    And an old key is free then, also where no write came between
-    And a shard that is full refuses new keys and still answers those that it has
+    And the next batch is written only after the write interval
+    And the next write after the retention time omits expired claims
+    And an expired key is free even if no write has removed it
+    And a full shard rejects new keys and still answers recorded ones
 
   Scenario: a caller that retries at another node after the first one died
     When an unrepeatable request with a key loses its node and is sent to another
@@ -27,7 +27,7 @@
     Then it is told not run and nothing was dispatched
     And when the store is back the same key runs
 
-  Scenario: a claim whose reply was lost is settled by reading back
+  Scenario: a claim whose write reply was lost is resolved by reading the shard
     When an unrepeatable request with a key comes while the store loses a reply
     Then it is answered whole
 
--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on claims: the core under store faults, and a site with two entry nodes."""
+"""Claims: the state machine under store faults, and a site with two entry nodes."""
 
 import anyio
 import attrs
@@ -20,7 +20,7 @@
 
 @attrs.define
 class FaultyStore:
-    """One object. Each fault is used up by one call; a late write takes effect after others."""
+    """A store of one object. Each call consumes one fault; a late write applies after others."""
 
     faults: list
     version: int = 0
@@ -53,7 +53,7 @@
 
 @attrs.define
 class ClaimWorld:
-    """Two homes of one shard, four requests on two keys, and messages in any order."""
+    """Two owners of one shard, four requests on two keys, and messages in any order."""
 
     store: FaultyStore
     refused: set
@@ -72,13 +72,13 @@
                 self.calls.append((home, command))
 
     def settle_calls(self):
-        """Let the store answer all calls; homes that disturb each other must come to an end."""
+        """Answer all store calls; owners with conflicting writes must finish in `MOST_CALLS`."""
         for _ in range(MOST_CALLS):
             if not self.calls:
                 return
             caller, command = self.calls.pop(0)
             self.feed(caller, self.store.act(command))
-        raise AssertionError("the homes never stop calling")
+        raise AssertionError("the owners keep calling the store")
 
     def act(self, action, number):
         key, request_id = f"k{number % 2}", f"r{number % 4}"
@@ -99,7 +99,7 @@
                 self.store.apply(self.store.late.pop(0))
 
     def hear(self, answer, home):
-        """The entry node's part: the first answer counts, and is settled if nothing ran."""
+        """Act as the entry node: the first answer counts, and is settled if nothing ran."""
         if answer.request_id in self.decided:
             return
         self.decided[answer.request_id] = answer.result
@@ -120,12 +120,12 @@
 )
 
 
-@given("any order of claims, lost replies, late writes and outages at two homes")
+@given("any order of claims, lost replies, late writes and outages at two shard owners")
 def any_claims(context):
     context.plans = st.tuples(FAULTS, ACTIONS, st.sets(st.sampled_from(("r0", "r1"))))
 
 
-@then("at most one request of a key may run, and a settled one makes room")
+@then("at most one request of a key may run, and a settled claim frees its key")
 def at_most_one(context):
     runs = []
 
@@ -142,10 +142,10 @@
 
     run()
     assert any(count for count, _ in runs), "no order let any request run"
-    assert any(count and settled for count, settled in runs), "no settled key was taken again"
+    assert any(count and settled for count, settled in runs), "no settled key was claimed again"
 
 
-@when("{count:d} requests with keys of one shard come while the shard is read")
+@when("{count:d} requests with keys of one shard arrive while the shard is read")
 def group(context, count):
     state, now_ms = ClaimShard(), 1_000_000
     context.store = FaultyStore([])
@@ -170,7 +170,7 @@
     assert len(context.results) == len(context.store.records)
 
 
-@then("the next group is written only when some time has passed")
+@then("the next batch is written only after the write interval")
 def gathered(context):
     early = claims.step(context.state, claims.ClaimRequested("next", "r", "n"), 1_000_000 + 1)
     assert not early, early
@@ -180,12 +180,12 @@
     assert "next" in context.store.records
 
 
-@given("a shard with claims of an earlier home")
+@given("a shard with two owners")
 def two_homes(context):
     context.world = ClaimWorld(FaultyStore([]), set())
 
 
-@when("both homes are asked in turn")
+@when("both owners get claims in turn")
 def asked_in_turn(context):
     world = context.world
     for number in range(6):
@@ -194,7 +194,7 @@
         world.now_ms += claims.WRITE_INTERVAL_MS
 
 
-@then("both record their claims, and each knows those of the other")
+@then("both record their claims, and each sees those of the other")
 def both_record(context):
     world = context.world
     assert [answer.result for answer in world.answers] == [claims.Claimed()] * 6
@@ -203,14 +203,14 @@
     assert world.answers[-1].result == claims.Denied("r5", "n")
 
 
-@then("after the time that claims are kept the next write leaves them out")
+@then("the next write after the retention time omits expired claims")
 def pruned(context):
     later_ms = 1_000_000 + claims.WRITE_INTERVAL_MS + claims.CLAIM_KEPT_MS
     commands = claims.step(context.state, claims.ClaimRequested("new", "r", "n"), later_ms)
     assert [list(command.records) for command in commands] == [["new"]], commands
 
 
-@then("an old key is free then, also where no write came between")
+@then("an expired key is free even if no write has removed it")
 def old_key_free(context):
     state = ClaimShard(version=3, records={"k": ClaimRecord("r", "n", 0)})
     early = claims.step(state, claims.ClaimRequested("k", "other", "n"), claims.CLAIM_KEPT_MS - 1)
@@ -219,7 +219,7 @@
     assert write.records["k"].request_id == "other"
 
 
-@then("a shard that is full refuses new keys and still answers those that it has")
+@then("a full shard rejects new keys and still answers recorded ones")
 def full_shard(context):
     records = {f"k{i}": ClaimRecord(f"r{i}", "n", 0) for i in range(claims.MAX_CLAIMS)}
     state = ClaimShard(version=3, records=records)
