--- a/saffronworks/tests/features/peers.feature
+++ b/saffronworks/tests/features/peers.feature
@@ -1,7 +1,7 @@
 Feature: sockets between nodes
 
-  Scenario: a socket that carried nothing for long
-    Given a node that told another one something a minute ago
-    When it tells a third one something
-    Then the socket to the other one is closed
-    And what it tells the other one later arrives
+  Scenario: an idle socket is closed and reopened on demand
+    Given a node that last sent a message to a peer a minute ago
+    When it sends a message to another peer
+    Then the socket to the first peer is closed
+    And a later message to the first peer arrives
--- a/saffronworks/tests/features/steps/peers_steps.py
+++ b/saffronworks/tests/features/steps/peers_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the sockets between nodes, over loopback."""
+"""Sockets between nodes, over loopback."""
 
 import anyio
 from behave import given, then, when
@@ -12,7 +12,7 @@
 
 
 class Peer:
-    """A node of which only its sockets run; `heard` is what came to it."""
+    """A node that runs only its peer sockets; `heard` lists the messages received."""
 
     name = "listener"
 
@@ -38,8 +38,8 @@
             await anyio.sleep(0.01)
 
 
-@given("a node that told another one something a minute ago")
-@when("it tells a third one something")
+@given("a node that last sent a message to a peer a minute ago")
+@when("it sends a message to another peer")
 def tell_both(context):
     if "open" in context:
         return
@@ -63,11 +63,11 @@
     anyio.run(main)
 
 
-@then("the socket to the other one is closed")
+@then("the socket to the first peer is closed")
 def closed(context):
     assert context.open == set()
 
 
-@then("what it tells the other one later arrives")
+@then("a later message to the first peer arrives")
 def arrived(context):
     assert context.heard == ["first", "later"]
