--- a/saffronworks/tests/features/fleet.feature
+++ b/saffronworks/tests/features/fleet.feature
@@ -1,10 +1,10 @@
-Feature: many nodes act as one
+Feature: nodes agree on members, documents and owners
 
-  Scenario: a version never goes back
+  Scenario: a document's version never decreases
     Given any order of pushes, pulls and comparisons between nodes
-    Then no node ever takes an older version
+    Then no node ever accepts an older version
 
-  Scenario: nodes that exchange digests come to the same versions
+  Scenario: nodes that exchange digests converge on the same versions
     Given any spread of versions over nodes
     When they exchange heartbeats for a while
     Then every node has the highest version of each document
@@ -22,33 +22,33 @@
     Then the sign-off is unsettled
     And the same sign-off id is accepted once the store is back
 
-  Scenario: a silent member is suspected, then dead, and comes back
+  Scenario: a silent member is suspected, then declared dead, and rejoins
     Given a fleet of 8 nodes
     When one node is silent for 10 s
-    Then all others hold it dead
-    And when it speaks again all hold it alive
+    Then all others consider it dead
+    And once it responds again all consider it alive
 
-  Scenario: a paused node that wakes does not hold the others dead
+  Scenario: a node that resumes after a pause does not declare the others dead
     Given a fleet of 8 nodes
     When one node is paused for 10 s
-    Then after a few heartbeats all members are alive to all
+    Then after a few heartbeats every node sees all members alive
 
-  Scenario: nodes that are starved of processor time hold nobody dead
+  Scenario: nodes short of CPU time declare no member dead
     Given a fleet of 30 nodes
-    When all take their messages 300 to 900 ms late for 60 s
-    Then nobody was held dead
-    And once they are quick again a death is known as soon as ever
+    When all process their messages 300 to 900 ms late for 60 s
+    Then no member was declared dead
+    And once the delay ends a death is detected within the usual time
 
-  Scenario: a zone that was cut off comes back by itself
+  Scenario: a zone rejoins by itself after a partition
     Given a fleet of 9 nodes
     When one zone is cut off for 30 s
-    Then after 30 s all members are alive to all
+    Then after 30 s every node sees all members alive
 
-  Scenario: any faults, and after them one view
+  Scenario: all views converge after any faults
     Given any pauses and cuts in a fleet
     Then after quiet time all live nodes agree on members and versions
 
-  Scenario: the owner of a cell is the same to all and moves little
+  Scenario: all nodes choose the same owner, and few cells move when a member leaves
     Given 40 members and 200 cells
     Then each member that leaves moves only its own cells
     And the choice agrees with a naive search
@@ -65,7 +65,7 @@
   Scenario: all nodes that come back to the store at once stay within its rate
     Given 1600 nodes that each want to read 3 times at once
     Then the store gets no more than 2000 reads in any second
-    And 8 nodes that do the same wait for nothing
+    And 8 nodes that do the same are not delayed
 
   Scenario: a node that starts in a store outage serves what its peers have
     When a node starts while the store is down
@@ -74,4 +74,4 @@
   Scenario: a bundle is in force on every node and a lost reply signs off once
     When a bundle is signed off while the store loses its reply
     Then the version is in force on every node
-    And it went up by one
+    And the version increased by one
--- a/saffronworks/tests/features/steps/fleet_steps.py
+++ b/saffronworks/tests/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on membership, documents, sign-off and ownership."""
+"""Membership, documents, sign-off and ownership."""
 
 import bisect
 
@@ -41,7 +41,7 @@
     context.property = run
 
 
-@then("no node ever takes an older version")
+@then("no node ever accepts an older version")
 def never_older(context):
     context.property()
 
@@ -113,14 +113,14 @@
     context.fleet.run(10_000)
 
 
-@then("all others hold it dead")
+@then("all others consider it dead")
 def held_dead(context):
     for node in context.fleet.nodes.values():
         if node.name != "n2":
             assert node.member.members["n2"].update.status is Status.DEAD
 
 
-@then("when it speaks again all hold it alive")
+@then("once it responds again all consider it alive")
 def speaks(context):
     context.fleet.cut = set()
     context.fleet.run(20_000)
@@ -134,13 +134,13 @@
     context.fleet.nodes["n2"].alive = True
 
 
-@then("after a few heartbeats all members are alive to all")
+@then("after a few heartbeats every node sees all members alive")
 def soon_alive(context):
     context.fleet.run(15_000)
     assert all_alive(context.fleet), views(context.fleet)
 
 
-@when("all take their messages {least:d} to {most:d} ms late for 60 s")
+@when("all process their messages {least:d} to {most:d} ms late for 60 s")
 def starved(context, least, most):
     fleet = context.fleet
     fleet.late_ms = {name: (least, most) for name in fleet.nodes}
@@ -148,13 +148,13 @@
     fleet.late_ms = {}
 
 
-@then("nobody was held dead")
+@then("no member was declared dead")
 def nobody_dead(context):
     assert context.fleet.held_dead == 0
     assert all_alive(context.fleet)
 
 
-@then("once they are quick again a death is known as soon as ever")
+@then("once the delay ends a death is detected within the usual time")
 def known_soon(context):
     fleet = context.fleet
     fleet.run(10_000)
@@ -174,7 +174,7 @@
     context.fleet.cut = set()
 
 
-@then("after 30 s all members are alive to all")
+@then("after 30 s every node sees all members alive")
 def alive_again(context):
     context.fleet.run(30_000)
     assert all_alive(context.fleet), views(context.fleet)
@@ -258,7 +258,7 @@
     assert context.in_force
 
 
-@then("it went up by one")
+@then("the version increased by one")
 def one_up(context):
     assert context.after == context.before + 1
 
@@ -285,6 +285,6 @@
     assert max(end - begin for begin, end in enumerate(ends)) <= most
 
 
-@then("{nodes:d} nodes that do the same wait for nothing")
+@then("{nodes:d} nodes that do the same are not delayed")
 def no_wait(context, nodes):
     assert set(read_times(nodes, context.reads)) == {5000.0}
--- a/saffronworks/tests/features/steps/ownership_steps.py
+++ b/saffronworks/tests/features/steps/ownership_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on who owns a cell, and on how pools are split."""
+"""Owners of cells, and the split of pools into cells."""
 
 import random
 from collections import Counter
