--- a/saffronworks/claimants.py
+++ b/saffronworks/claim_service.py
@@ -1,4 +1,4 @@
-"""The claim service: asks the homes of claims for this node, and is the home of some shards."""
+"""Claim service: claims keys for this node's requests, and owns some of the claim shards."""
 
 import logging
 
@@ -19,21 +19,21 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_AGAIN_S = 0.4
-LIMIT_S = 4.0
+RESEND_INTERVAL_S = 0.4
+CLAIM_TIMEOUT_S = 4.0
 TICK_S = 0.05
 
 
 @attrs.frozen
 class _ShardEvent:
-    """What the store said of a shard."""
+    """The result of a store call on a shard."""
 
     shard: str
     event: claims.Event
 
 
 class ClaimService:
-    """Takes and settles claims of one node, and keeps the shards that it is the home of."""
+    """Makes and withdraws the claims of one node, and manages the shards that the node owns."""
 
     name = "claims"
 
@@ -46,14 +46,14 @@
         self._work = anyio.Event()
 
     async def claim(self, key: str, request_id: str) -> claims.Result:
-        """Ask the key's home until it answers; past the limit nothing may be dispatched."""
+        """Claim the key, with resends; after `CLAIM_TIMEOUT_S` the result is `Unrecorded`."""
         pair = (key, request_id)
         self._replies[pair] = anyio.Event()
         try:
-            with anyio.move_on_after(LIMIT_S):
+            with anyio.move_on_after(CLAIM_TIMEOUT_S):
                 while pair not in self._results:
                     self._send(key, ClaimAsk(key, request_id, self._node()))
-                    with anyio.move_on_after(ASK_AGAIN_S):
+                    with anyio.move_on_after(RESEND_INTERVAL_S):
                         await self._replies[pair].wait()
             result = self._results.pop(pair, None)
         finally:
@@ -71,19 +71,19 @@
         return result
 
     def settle_not_run(self, key: str, request_id: str) -> None:
-        """Tell the home that the request did not run, so that a retry with the key may.
+        """Report to the shard's owner that the request did not run, which frees the key.
 
-        When the word is lost the claim stays: a retry is then told *unknown*.
+        If the message is lost the claim stays, and a retry gets the outcome *unknown*.
         """
         self._send(key, ClaimSettle(key, request_id))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Serve messages, and shards while any is busy, until cancelled."""
+        """Handle messages and drive the busy shards until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel, tasks)
             async for message in mailbox:
-                self._take(kernel, tasks, message)
+                self._handle(kernel, tasks, message)
 
     def _node(self) -> str:
         assert self._kernel is not None
@@ -92,23 +92,23 @@
     def _send(self, key: str, message: ClaimAsk | ClaimSettle) -> None:
         assert self._kernel is not None
         members: MemberService = self._kernel.find("members")
-        home = members.owner_of(claims.shard_of(key))
-        members.send(self._kernel, home or self._kernel.node, message)
+        shard_owner = members.owner_of(claims.shard_of(key))
+        members.send(self._kernel, shard_owner or self._kernel.node, message)
 
-    def _take(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
+    def _handle(self, kernel: Kernel, tasks: TaskGroup, message: object) -> None:
         match message:
             case ClaimAsk():
-                asked = claims.Asked(message.key, message.request_id, message.node)
+                asked = claims.ClaimRequested(message.key, message.request_id, message.node)
                 self._step(kernel, tasks, claims.shard_of(message.key), asked)
             case ClaimSettle():
                 settled = claims.Settled(message.key, message.request_id)
                 self._step(kernel, tasks, claims.shard_of(message.key), settled)
             case ClaimReply():
-                self._take_reply(message)
+                self._handle_reply(message)
             case _ShardEvent():
                 self._step(kernel, tasks, message.shard, message.event)
 
-    def _take_reply(self, reply: ClaimReply) -> None:
+    def _handle_reply(self, reply: ClaimReply) -> None:
         pair = (reply.key, reply.request_id)
         if pair not in self._replies:
             return
@@ -155,15 +155,15 @@
     async def _write(self, kernel: Kernel, name: str, command: claims.Write) -> None:
         content = claims.write_records(command.records)
         reply = await self._store.put(name, content, command.expected)
-        kernel.post(self.name, _ShardEvent(name, _read_write(reply)))
+        kernel.post(self.name, _ShardEvent(name, _write_event(reply)))
 
 
-def _read_write(reply: Result[int, stores.Moved | stores.StoreFailure]) -> claims.Event:
+def _write_event(reply: Result[int, stores.Moved | stores.StoreFailure]) -> claims.Event:
     match reply:
         case Ok(version):
             return claims.WriteDone(version)
         case Err(stores.Moved()):
-            return claims.WriteMoved()
+            return claims.WriteConflict()
         case Err(stores.StoreFailure(applied=True)):
             return claims.WriteLost()
         case _:
--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -1,7 +1,8 @@
-"""Which nodes are alive: a pure core of ring heartbeats, suspicion and refutation.
+"""Failure detector of the nodes: ring heartbeats, suspicion and refutation, free of I/O.
 
-The platform's lagging list says who may exist; heartbeats to a few ring neighbours say who
-answers. Changes ride on heartbeats, so background traffic does not grow with the fleet.
+The platform's list of VMs, which lags, gives the possible members; heartbeats to a few ring
+neighbours detect which are alive. Status changes are piggybacked on heartbeats, so a node's
+background traffic does not grow with the fleet.
 """
 
 import enum
@@ -31,17 +32,17 @@
 ]
 
 NEIGHBOURS = 2
-RUMOUR_TARGETS = 2
+GOSSIP_TARGETS = 2
 UPDATES_PER_MESSAGE = 12
 SYNC_MEMBERS = 400
-HEAL_EVERY_BEATS = 4
-POSITIONS_KEPT = 4096
-REPLY_FACTOR = 4.0
+PROBE_DEAD_EVERY_BEATS = 4
+POSITION_CACHE_SIZE = 4096
+LATE_REPLY_FACTOR = 4.0
 USUAL_REPLY_SHARE = 0.2
 
 
 class Status(enum.StrEnum):
-    """What is believed of a member; `LEAVING` still serves, but owns nothing new."""
+    """Status of a member in this node's view; `LEAVING` ones serve, but become no new owners."""
 
     LISTED = "listed"
     ALIVE = "alive"
@@ -63,7 +64,7 @@
 
 @attrs.frozen
 class VmRecord:
-    """One VM as the platform lists it: an entry VM, or the VM of an endpoint."""
+    """One VM in the platform's list: that of an entry node, or that of an endpoint."""
 
     name: str
     address: str
@@ -75,7 +76,7 @@
 
 @attrs.frozen
 class MemberUpdate:
-    """News of one member; a higher incarnation, then a graver status, goes first."""
+    """Status of one member; a higher incarnation wins, then the higher-ranked status."""
 
     name: str
     address: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Sent every heartbeat to each ring neighbour. `digest` is that of the documents."""
+    """Sent to each ring neighbour every period; `digest` covers the sender's documents."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -97,7 +98,7 @@
 
 @attrs.frozen
 class HeartbeatReply:
-    """The answer to a heartbeat; carries the whole table to a node that just joined."""
+    """The reply to a heartbeat; carries the whole member table to a node that just joined."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -107,7 +108,7 @@
 
 @attrs.frozen
 class Listed:
-    """The platform's list of VMs, late as it may be."""
+    """The platform's list of VMs, which may be out of date."""
 
     vms: tuple[VmRecord, ...]
 
@@ -164,7 +165,7 @@
 
 
 def live_members(state: Membership, owners_only: bool = False) -> list[str]:
-    """Names of the members that answer, this node among them, in order of name."""
+    """Sorted names of the live members, this node included; `owners_only` omits leaving ones."""
     wanted = {Status.ALIVE, Status.SUSPECT}
     if not owners_only:
         wanted.add(Status.LEAVING)
@@ -175,29 +176,29 @@
 
 
 def leave(state: Membership, gone: bool, now_ms: int) -> list[Command]:
-    """Announce that this node leaves (still serving), or is gone for good."""
+    """Announce that this node is leaving but still serves, or, if `gone`, that it has left."""
     status = Status.LEFT if gone else Status.LEAVING
     state.me = attrs.evolve(state.me, incarnation=state.me.incarnation + 1, status=status)
-    return _beat(state, now_ms)
+    return _send_heartbeats(state, now_ms)
 
 
 def step(state: Membership, event: Event, now_ms: int) -> list[Command]:
     """Apply one event."""
     match event:
         case Listed():
-            return _take_list(state, event, now_ms)
+            return _apply_list(state, event, now_ms)
         case Heartbeat():
-            return _take_heartbeat(state, event, now_ms)
+            return _handle_heartbeat(state, event, now_ms)
         case HeartbeatReply():
-            commands = _take_update(state, event.sender, now_ms)
-            _learn_reply(state, event.sender.name, now_ms)
-            _note_heard(state, event.sender.name, now_ms)
-            return commands + _take_updates(state, event.updates, now_ms)
+            commands = _apply_update(state, event.sender, now_ms)
+            _record_reply_time(state, event.sender.name, now_ms)
+            _record_contact(state, event.sender.name, now_ms)
+            return commands + _apply_updates(state, event.updates, now_ms)
         case Tick():
             return _tick(state, now_ms)
 
 
-def _take_list(state: Membership, event: Listed, now_ms: int) -> list[Command]:
+def _apply_list(state: Membership, event: Listed, now_ms: int) -> list[Command]:
     listed = {vm.name: vm for vm in event.vms if vm.region == state.me.region and not vm.endpoint}
     for name, vm in listed.items():
         if name != state.me.name and name not in state.members:
@@ -210,12 +211,12 @@
     return []
 
 
-def _take_heartbeat(state: Membership, event: Heartbeat, now_ms: int) -> list[Command]:
+def _handle_heartbeat(state: Membership, event: Heartbeat, now_ms: int) -> list[Command]:
     known = state.members.get(event.sender.name)
     joining = known is None or known.update.incarnation < event.sender.incarnation
-    commands = _take_update(state, event.sender, now_ms)
-    _note_heard(state, event.sender.name, now_ms)
-    commands += _take_updates(state, event.updates, now_ms)
+    commands = _apply_update(state, event.sender, now_ms)
+    _record_contact(state, event.sender.name, now_ms)
+    commands += _apply_updates(state, event.updates, now_ms)
     updates = _all_updates(state) if joining else _pick_updates(state)
     told = state.members.get(event.sender.name)
     if told is not None and told.update.status not in (Status.ALIVE, Status.LEAVING):
@@ -224,43 +225,43 @@
     return [*commands, Send(event.sender.address, reply)]
 
 
-def _take_updates(
+def _apply_updates(
     state: Membership, updates: tuple[MemberUpdate, ...], now_ms: int
 ) -> list[Command]:
     commands: list[Command] = []
     for update in updates:
-        commands += _take_update(state, update, now_ms)
+        commands += _apply_update(state, update, now_ms)
     return commands
 
 
-def _take_update(state: Membership, update: MemberUpdate, now_ms: int) -> list[Command]:
+def _apply_update(state: Membership, update: MemberUpdate, now_ms: int) -> list[Command]:
     if update.name == state.me.name:
         _refute(state, update)
         return []
     if update.region != state.me.region:
         return []
     known = state.members.get(update.name)
-    if known is not None and not _newer(update, known.update):
+    if known is not None and not _supersedes(update, known.update):
         return []
     was = known.update.status if known else None
-    member = _Member(update, now_ms, now_ms, spread_left=_spread_count(state))
+    member = _Member(update, now_ms, now_ms, spread_left=_gossip_count(state))
     if known is not None and update.status in (Status.SUSPECT, Status.DEAD):
         member.heard_ms = known.heard_ms
     state.members[update.name] = member
     if update.status is was:
         return []
-    return [MemberChanged(update.name, update.status), *_spread_now(state, update)]
+    return [MemberChanged(update.name, update.status), *_gossip_update(state, update)]
 
 
-def _spread_now(state: Membership, update: MemberUpdate) -> list[Command]:
-    """Tell a few members at once; on heartbeats alone news would walk around the ring."""
+def _gossip_update(state: Membership, update: MemberUpdate) -> list[Command]:
+    """Send an update to a few random members; heartbeats alone pass it on one ring hop a period."""
     others = [
         member.update.address
         for member in state.members.values()
         if member.update.status in (Status.ALIVE, Status.LEAVING)
         and member.update.name != update.name
     ]
-    targets = state.rng.sample(others, min(RUMOUR_TARGETS, len(others)))
+    targets = state.rng.sample(others, min(GOSSIP_TARGETS, len(others)))
     beat = Heartbeat(state.me, (update,), state.digest, state.fresh_age_ms)
     return [Send(address, beat) for address in targets]
 
@@ -273,36 +274,37 @@
         state.me = attrs.evolve(state.me, incarnation=update.incarnation + 1)
 
 
-def _newer(update: MemberUpdate, known: MemberUpdate) -> bool:
+def _supersedes(update: MemberUpdate, known: MemberUpdate) -> bool:
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return _RANK[update.status] > _RANK[known.status]
 
 
-def _spread_count(state: Membership) -> int:
+def _gossip_count(state: Membership) -> int:
     return 2 + math.ceil(math.log2(len(state.members) + 2))
 
 
-def _note_heard(state: Membership, name: str, now_ms: int) -> None:
+def _record_contact(state: Membership, name: str, now_ms: int) -> None:
     member = state.members.get(name)
     if member is not None:
         member.heard_ms = now_ms
         member.asked_ms = None
 
 
-def _learn_reply(state: Membership, name: str, now_ms: int) -> None:
+def _record_reply_time(state: Membership, name: str, now_ms: int) -> None:
     member = state.members.get(name)
     if member is not None and member.asked_ms is not None:
         state.reply_ms.add(float(now_ms - member.asked_ms))
 
 
-def _patience_ms(state: Membership, usual_ms: int) -> float:
-    """A wait for others, up to twice as long where all replies are late: this node is slow.
+def _extended_timeout_ms(state: Membership, usual_ms: int) -> float:
+    """A timeout extended up to twofold while replies are late on average.
 
-    Replies within a share of the heartbeat count as usual, and add nothing.
+    Late replies from all members indicate that this node itself is slow. Replies within
+    `USUAL_REPLY_SHARE` of the heartbeat period extend nothing.
     """
     late_ms = max(0.0, state.reply_ms.value - USUAL_REPLY_SHARE * state.heartbeat_ms)
-    return usual_ms + min(float(usual_ms), REPLY_FACTOR * late_ms)
+    return usual_ms + min(float(usual_ms), LATE_REPLY_FACTOR * late_ms)
 
 
 def _tick(state: Membership, now_ms: int) -> list[Command]:
@@ -310,59 +312,59 @@
     state.last_tick_ms = now_ms
     commands: list[Command] = []
     if paused:
-        # This node itself stood still: its questions were not answered for that reason.
+        # This node was suspended, so missing replies say nothing about the other members.
         for member in state.members.values():
             member.asked_ms = None
             member.since_ms = now_ms
     for member in list(state.members.values()):
-        commands += _judge(state, member, now_ms)
-    return commands + _beat(state, now_ms)
+        commands += _check_timeouts(state, member, now_ms)
+    return commands + _send_heartbeats(state, now_ms)
 
 
-def _judge(state: Membership, member: _Member, now_ms: int) -> list[Command]:
+def _check_timeouts(state: Membership, member: _Member, now_ms: int) -> list[Command]:
     update = member.update
     if update.status in (Status.ALIVE, Status.LEAVING):
         unanswered = member.asked_ms is not None
-        wait_ms = _patience_ms(state, state.suspect_after_ms)
+        wait_ms = _extended_timeout_ms(state, state.suspect_after_ms)
         if unanswered and now_ms - (member.asked_ms or 0) >= wait_ms:
-            return _take_update(state, attrs.evolve(update, status=Status.SUSPECT), now_ms)
+            return _apply_update(state, attrs.evolve(update, status=Status.SUSPECT), now_ms)
     if update.status is Status.SUSPECT:
-        wait_ms = _patience_ms(state, state.dead_after_ms - state.suspect_after_ms)
+        wait_ms = _extended_timeout_ms(state, state.dead_after_ms - state.suspect_after_ms)
         if now_ms - member.since_ms >= wait_ms:
-            return _take_update(state, attrs.evolve(update, status=Status.DEAD), now_ms)
+            return _apply_update(state, attrs.evolve(update, status=Status.DEAD), now_ms)
     return []
 
 
-def _beat(state: Membership, now_ms: int) -> list[Command]:
+def _send_heartbeats(state: Membership, now_ms: int) -> list[Command]:
     state.beats += 1
     updates = _pick_updates(state)
     beat = Heartbeat(state.me, updates, state.digest, state.fresh_age_ms)
     commands: list[Command] = []
-    for member in _targets(state):
+    for member in _heartbeat_targets(state):
         if member.asked_ms is None:
             member.asked_ms = now_ms
         commands.append(Send(member.update.address, beat))
     return commands
 
 
-def _targets(state: Membership) -> list[_Member]:
-    here = _position(state.me.name)
+def _heartbeat_targets(state: Membership) -> list[_Member]:
+    here = _ring_position(state.me.name)
     ring = [m for m in state.members.values() if m.update.status not in (Status.DEAD, Status.LEFT)]
-    ring.sort(key=lambda m: (_position(m.update.name) - here) % 2**64)
+    ring.sort(key=lambda m: (_ring_position(m.update.name) - here) % 2**64)
     targets = ring[:NEIGHBOURS]
     if len(ring) > NEIGHBOURS:
         targets.append(state.rng.choice(ring[NEIGHBOURS:]))
     suspects = [m for m in ring[NEIGHBOURS:] if m.update.status is Status.SUSPECT]
     targets += suspects[:1]
     silent = [m for m in state.members.values() if m.update.status in (Status.DEAD, Status.LISTED)]
-    if silent and state.beats % HEAL_EVERY_BEATS == 0:
+    if silent and state.beats % PROBE_DEAD_EVERY_BEATS == 0:
         targets.append(state.rng.choice(silent))
     return targets
 
 
-@functools.lru_cache(maxsize=POSITIONS_KEPT)
-def _position(name: str) -> int:
-    """Where a member stands on the ring; each beat asks for every member's."""
+@functools.lru_cache(maxsize=POSITION_CACHE_SIZE)
+def _ring_position(name: str) -> int:
+    """A member's position on the ring; cached, since each heartbeat sorts all members by it."""
     return hash64(name)
 
 
--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -183,7 +183,7 @@
             kernel.post("cancels", CancelOrder(endpoint, address, key, state.cell.name))
 
     async def _take_fence(self, kernel: Kernel, name: str) -> None:
-        taken = await self._fences.take(name)
+        taken = await self._fences.acquire(name)
         if isinstance(taken, Ok):
             kernel.post(self.name, _EndpointEvent(name, cell_events.FenceTaken(taken.ok_value)))
 
@@ -191,7 +191,7 @@
         self, kernel: Kernel, name: str, address: str, command: cell_events.OrderRole
     ) -> None:
         """Sends a role order; after an unclear answer posts no event, so that it is sent again."""
-        if command.recheck and not await self._fences.holds(name, command.fence):
+        if command.recheck and not await self._fences.is_current(name, command.fence):
             kernel.post(
                 self.name, _EndpointEvent(name, cell_events.RoleOrdered(command.endpoint, False))
             )
--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -1,7 +1,7 @@
-"""The life of one request at its entry node: a pure state machine.
+"""State machine of one request at its entry node, free of I/O.
 
-`step(request, event, now_ms)` changes the request and returns typed commands. It decides
-what is dispatched, which late or doubled input is dropped, and the outcome a caller is told.
+`step(request, event, now_ms)` updates the request and returns typed commands. It decides what
+is dispatched, drops late and duplicate events, and sets the outcome reported to the caller.
 """
 
 import attrs
@@ -48,17 +48,18 @@
 __all__ = ["Request", "due_ms", "step"]
 
 RESUMES_PER_ATTEMPT = 2
-MOST_ATTEMPTS = 6
-MOST_DOUBLINGS = 3
-# The owner withdraws an expired result by itself; the entry waits a little for its word.
+MAX_ATTEMPTS = 6
+MAX_BACKOFF_DOUBLINGS = 3
+# The owner withdraws an expired KV result itself; the entry node allows for its message to arrive.
 KV_GRACE_MS = 100
-# The entry gives a stalled transfer up first; the engine's own limit is for when it cannot.
+# The entry node times a stalled transfer out first; the engine's own limit applies when the entry
+# node is unable to.
 IMPORT_GRACE_MS = 500
 
 
 @attrs.define
 class Request:
-    """State of one request. `delivered` counts the tokens that the caller was given."""
+    """State of one request. `delivered` counts the tokens sent to the caller."""
 
     request_id: str
     prompt_tokens: int
@@ -82,7 +83,7 @@
     progress_ms: int = 0
     first_token_ms: int | None = None
     last_token_ms: int = 0
-    broke_ms: int | None = None
+    broken_since_ms: int | None = None
     prefill_ms: int = 0
     cached_tokens: int = 0
     kv_expires_ms: int = 0
@@ -95,60 +96,61 @@
 
     @property
     def key(self) -> RequestKey:
-        """The current attempt."""
+        """The key of the current attempt."""
         return RequestKey(self.request_id, self.attempt)
 
     @property
     def holds_prefill(self) -> bool:
-        """Whether prefill work of this attempt would be wasted by a failure now."""
+        """True while a failure would waste this attempt's prefill work."""
         return self.phase in (Phase.PREFILLING, Phase.ASSIGNING, Phase.TRANSFERRING)
 
     @property
     def next_due_ms(self) -> int | None:
-        """Until when the next token helps its caller; None while tokens come.
+        """The deadline of the next token; None while the stream is intact.
 
-        A stream that lost its engine is given as long as a newcomer, so that it neither ends by a
-        deadline which it has met, nor waits without an end where no owner answers.
+        A stream that lost its engine gets as much time as a new request. The original deadline was
+        met by the first token, and without any deadline the request would wait forever when no
+        owner answers.
         """
         if self.first_token_ms is None:
             return self.deadline_ms
-        if self.broke_ms is None:
+        if self.broken_since_ms is None:
             return None
-        return self.broke_ms + self.deadline_ms - self.arrived_ms
+        return self.broken_since_ms + self.deadline_ms - self.arrived_ms
 
-    def too_late(self, now_ms: int) -> bool:
-        """Whether the next token can't come in time any more."""
+    def deadline_passed(self, now_ms: int) -> bool:
+        """True when the deadline of the next token has passed."""
         return self.next_due_ms is not None and now_ms >= self.next_due_ms
 
 
 def step(request: Request, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event. Input of an older attempt, or after the end, changes nothing."""
+    """Apply one event; events of an older attempt or of a finished request are ignored."""
     if request.phase is Phase.FINISHED:
         return []
     if getattr(event, "attempt", request.attempt) != request.attempt:
         return []
     match event:
         case Started():
-            return _ask(request, now_ms, retry=False)
+            return _request_grant(request, now_ms, retry=False)
         case CallerGone():
             return _end(request, Cancelled())
         case RouterFailed():
-            return _end(request, _give_up(request, "router failed"))
+            return _end(request, _failure_outcome(request, "router failed"))
         case Tick():
             return _tick(request, now_ms)
         case OwnerChanged():
             request.asks = 0
-            return _send_again(request, now_ms)
+            return _resend(request, now_ms)
         case LeaseLost():
-            return _lose_lease(request, now_ms)
+            return _handle_lease_loss(request, now_ms)
         case TokensArrived() | DecodeEnded() | DecodeBroken():
             return _step_decode(request, event, now_ms)
         case _:
             return _step_setup(request, event, now_ms)
 
 
-def _lose_lease(request: Request, now_ms: int) -> list[Command]:
-    """Make what was granted void. A running stream tells by itself when it was cancelled."""
+def _handle_lease_loss(request: Request, now_ms: int) -> list[Command]:
+    """Retry a request whose grant is void; the engine reports the cancellation of a stream."""
     match request.phase:
         case Phase.WAITING:
             return _retry(request, now_ms, (), "lease lost", executed=False)
@@ -163,7 +165,7 @@
         case GrantReceived(), Phase.WAITING:
             return _start_prefill(request, event.endpoint, now_ms)
         case RefusalReceived(), Phase.WAITING:
-            return _end(request, _give_up(request, event.reason, event.retry_after_ms))
+            return _end(request, _failure_outcome(request, event.reason, event.retry_after_ms))
         case PrefillEnded(), Phase.PREFILLING:
             request.phase = Phase.ASSIGNING
             request.kv_id = event.kv_id
@@ -241,18 +243,20 @@
         case DecodeEnded() if event.total == request.delivered:
             return _end(request, Completed())
         case DecodeEnded():
-            # With more to come the engine can be asked again. One that tells less than the caller
-            # has, or no length, contradicts what is out: its end says nothing of this answer.
+            # A larger total means that tokens are missing, and the engine can resume. A smaller
+            # total, or none, contradicts the tokens already delivered: the end isn't trusted.
             more = event.total is not None and event.total > request.delivered
             failure = "gap" if more else "wrong end"
-            return _broken(request, DecodeBroken(event.attempt, more, failure), now_ms)
+            return _handle_broken_stream(
+                request, DecodeBroken(event.attempt, more, failure), now_ms
+            )
         case DecodeBroken():
-            return _broken(request, event, now_ms)
+            return _handle_broken_stream(request, event, now_ms)
 
 
 def _deliver(request: Request, event: TokensArrived, now_ms: int) -> list[Command]:
     if event.offset > request.delivered:
-        return _broken(request, DecodeBroken(event.attempt, True, "gap"), now_ms)
+        return _handle_broken_stream(request, DecodeBroken(event.attempt, True, "gap"), now_ms)
     fresh = event.tokens[request.delivered - event.offset :]
     if not fresh:
         return []
@@ -261,19 +265,19 @@
     if request.first_token_ms is None:
         request.first_token_ms = now_ms
     request.last_token_ms = now_ms
-    request.broke_ms = None
+    request.broken_since_ms = None
     request.progress_ms = now_ms
     return [Deliver(fresh)]
 
 
-def _broken(request: Request, event: DecodeBroken, now_ms: int) -> list[Command]:
+def _handle_broken_stream(request: Request, event: DecodeBroken, now_ms: int) -> list[Command]:
     if event.engine_alive and request.resumes < RESUMES_PER_ATTEMPT:
         request.resumes += 1
         request.progress_ms = now_ms
         return [ResumeDecode(request.attempt, request.decode_endpoint, request.delivered)]
     failed: tuple[str, ...] = (request.decode_endpoint,)
     if request.phase is Phase.TRANSFERRING:
-        # Either end of the transfer may be at fault; success elsewhere clears the other.
+        # Either side of the transfer may have failed; later successes clear the healthy one.
         failed = (request.decode_endpoint, request.prefill_endpoint)
     return _retry(request, now_ms, failed, event.failure, executed=True)
 
@@ -281,21 +285,21 @@
 def _retry(
     request: Request, now_ms: int, failed: tuple[str, ...], failure: str, executed: bool
 ) -> list[Command]:
-    """Give the attempt up and start another one, where that cannot run anything twice."""
-    commands: list[Command] = _drop_attempt(request, failed, failure)
+    """Abandon the attempt and start another, unless an unrepeatable request may have run."""
+    commands: list[Command] = _release_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
-    too_many = request.attempt >= MOST_ATTEMPTS
-    if too_many or request.too_late(now_ms) or (request.unrepeatable and executed):
-        return commands + _finish(request, _give_up(request, failure or "failed"))
-    if request.first_token_ms is not None and request.broke_ms is None:
-        request.broke_ms = now_ms
+    too_many = request.attempt >= MAX_ATTEMPTS
+    if too_many or request.deadline_passed(now_ms) or (request.unrepeatable and executed):
+        return commands + _finish(request, _failure_outcome(request, failure or "failed"))
+    if request.first_token_ms is not None and request.broken_since_ms is None:
+        request.broken_since_ms = now_ms
     request.attempt += 1
     request.resumes = 0
     request.prefill_endpoint = request.decode_endpoint = request.kv_id = ""
-    return commands + _ask(request, now_ms, retry=True)
+    return commands + _request_grant(request, now_ms, retry=True)
 
 
-def _ask(request: Request, now_ms: int, retry: bool) -> list[Command]:
+def _request_grant(request: Request, now_ms: int, retry: bool) -> list[Command]:
     request.phase = Phase.WAITING
     request.asked_ms = now_ms
     request.asks = 0
@@ -303,31 +307,35 @@
 
 
 def _tick(request: Request, now_ms: int) -> list[Command]:
-    if request.too_late(now_ms):
-        return _end(request, _give_up(request, "deadline"))
+    if request.deadline_passed(now_ms):
+        return _end(request, _failure_outcome(request, "deadline"))
     idle_ms = now_ms - request.progress_ms
     if request.phase is Phase.TRANSFERRING and idle_ms >= request.transfer_limit_ms:
-        return _broken(request, DecodeBroken(request.attempt, False, "stalled"), now_ms)
+        return _handle_broken_stream(
+            request, DecodeBroken(request.attempt, False, "stalled"), now_ms
+        )
     if idle_ms >= request.stall_ms:
         if request.phase is Phase.PREFILLING:
             failed = (request.prefill_endpoint,)
             return _retry(request, now_ms, failed, "stalled", executed=True)
         if request.phase is Phase.DECODING:
-            return _broken(request, DecodeBroken(request.attempt, True, "stalled"), now_ms)
+            return _handle_broken_stream(
+                request, DecodeBroken(request.attempt, True, "stalled"), now_ms
+            )
     if request.phase is Phase.ASSIGNING and now_ms >= request.kv_expires_ms + KV_GRACE_MS:
         return _retry(request, now_ms, (), "expired", executed=True)
-    if now_ms < _ask_due_ms(request):
+    if now_ms < _resend_due_ms(request):
         return []
     request.asks += 1
-    return _send_again(request, now_ms)
+    return _resend(request, now_ms)
 
 
-def _ask_due_ms(request: Request) -> int:
-    """When the last message to the owner is sent again: later each time."""
-    return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MOST_DOUBLINGS)
+def _resend_due_ms(request: Request) -> int:
+    """The time of the next resend to the owner, with exponential backoff."""
+    return request.asked_ms + request.ask_again_ms * 2 ** min(request.asks, MAX_BACKOFF_DOUBLINGS)
 
 
-def _send_again(request: Request, now_ms: int) -> list[Command]:
+def _resend(request: Request, now_ms: int) -> list[Command]:
     request.asked_ms = now_ms
     if request.phase is Phase.WAITING:
         return [AskOwner(request.attempt, request.attempt > 1)]
@@ -337,12 +345,12 @@
 
 
 def due_ms(request: Request) -> int:
-    """When the request next needs a `Tick`; a tick before that changes nothing."""
+    """The time at which the request next needs a `Tick`; an earlier one changes nothing."""
     match request.phase:
         case Phase.WAITING:
-            due = _ask_due_ms(request)
+            due = _resend_due_ms(request)
         case Phase.ASSIGNING:
-            due = min(_ask_due_ms(request), request.kv_expires_ms + KV_GRACE_MS)
+            due = min(_resend_due_ms(request), request.kv_expires_ms + KV_GRACE_MS)
         case Phase.TRANSFERRING:
             due = request.progress_ms + request.transfer_limit_ms
         case _:
@@ -350,13 +358,15 @@
     return due if request.next_due_ms is None else min(due, request.next_due_ms)
 
 
-def _give_up(request: Request, reason: str, retry_after_ms: int = RETRY_AFTER_MS) -> Outcome:
+def _failure_outcome(
+    request: Request, reason: str, retry_after_ms: int = RETRY_AFTER_MS
+) -> Outcome:
     if request.dispatched:
         return Unknown(reason)
     return NotRun(reason, retry_after_ms)
 
 
-def _drop_attempt(
+def _release_attempt(
     request: Request, failed: tuple[str, ...] = (), failure: str = ""
 ) -> list[Command]:
     if request.holds_prefill:
@@ -371,7 +381,7 @@
     if isinstance(outcome, Completed):
         release = ReleaseGrant(request.attempt, finished=True)
         return [release, *_finish(request, outcome)]
-    return _drop_attempt(request) + _finish(request, outcome)
+    return _release_attempt(request) + _finish(request, outcome)
 
 
 def _finish(request: Request, outcome: Outcome) -> list[Command]:
--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -1,4 +1,4 @@
-"""One task per request at its entry node: performs the core's commands, feeds it events."""
+"""Runs one request at its entry node: executes the state machine's commands, feeds it events."""
 
 import logging
 from typing import Protocol
@@ -21,11 +21,11 @@
 from saffronworks.request_events import Phase
 from saffronworks.requests import Request
 
-__all__ = ["Job", "Owners", "RequestRunner", "Sink"]
+__all__ = ["Job", "OwnerClient", "RequestRunner", "Sink"]
 
 logger = logging.getLogger(__name__)
 
-EVENTS_HELD = 1024
+EVENT_QUEUE_SIZE = 1024
 STREAM_IDLE_MS = 3000
 _BROKEN = (
     httpcore.NetworkError,
@@ -37,22 +37,22 @@
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receiver of the answer's tokens."""
 
     async def deliver(self, tokens: tuple[str, ...]) -> None:
-        """Take the next tokens, in order."""
+        """Deliver the next tokens, in order."""
 
 
-class Owners(Protocol):
-    """How a runner reaches the owner of a cell."""
+class OwnerClient(Protocol):
+    """Connection to the owners of cells."""
 
-    def tell_owner(self, cell: str, message: object) -> None:
-        """Send to the owner, which may be this node."""
+    def send_to_owner(self, cell: str, message: object) -> None:
+        """Send a message to the cell's owner, which may be this node."""
 
 
 @attrs.frozen
 class Job:
-    """What a caller asked for."""
+    """A caller's request, with the model and the cell that serve it."""
 
     prompt: str
     prefix_key: str
@@ -67,7 +67,7 @@
     """Drives one `Request` to its outcome."""
 
     def __init__(
-        self, kernel: Kernel, owners: Owners, engines: EngineClient, request: Request, job: Job
+        self, kernel: Kernel, owners: OwnerClient, engines: EngineClient, request: Request, job: Job
     ):
         self.request = request
         self.job = job
@@ -78,15 +78,15 @@
         self._answered: list[str] = []
         self._endpoints = {endpoint.name: endpoint for endpoint in job.cell.endpoints}
         self._outbox, self._inbox = anyio.create_memory_object_stream[request_events.Event](
-            EVENTS_HELD
+            EVENT_QUEUE_SIZE
         )
 
     def post(self, event: request_events.Event) -> None:
-        """Hand in an event without waiting; a full mailbox drops it, as the network would.
+        """Queue an event without blocking; a full queue drops it.
 
-        So only what can be missed comes this way: owners' answers are asked for again, ticks come
-        again, and a lost lease says nothing to a request that streams, the only kind whose mailbox
-        fills up. Tokens and ends of runs wait for room.
+        Only events that may be lost are posted: requests to owners are resent, ticks recur, and a
+        lost lease is ignored by a streaming request, the only kind whose queue fills up. Tokens and
+        results of engine calls wait for room instead.
         """
         try:
             self._outbox.send_nowait(event)
@@ -94,7 +94,7 @@
             logger.warning("event=event_dropped request=%s", self.request.request_id)
 
     def held(self) -> HeldKey | None:
-        """What this request holds at the owner, None while it holds nothing."""
+        """The grant that this request holds at its owner, or None."""
         request = self.request
         match request.phase:
             case Phase.PREFILLING:
@@ -108,9 +108,10 @@
         return HeldKey(request.key, endpoint, stage, self.job.organisation, request.delivered)
 
     async def run(self, sink: Sink) -> request_events.Outcome:
-        """Run to the outcome. On cancellation the engines are told, then it goes on up.
+        """Run the request and return its outcome.
 
-        An error within is logged and becomes an outcome too: there is a caller to be told.
+        Cancellation cancels the work at the engines, then propagates. An internal error is logged
+        and becomes an outcome, since the caller still needs an answer.
         """
         try:
             async with anyio.create_task_group() as tasks:
@@ -124,14 +125,14 @@
                         break
         except Exception:
             logger.exception("event=request_failed request=%s", self.request.request_id)
-            self._abandon(request_events.RouterFailed())
+            self._end_early(request_events.RouterFailed())
         finally:
-            self._abandon(request_events.CallerGone())
+            self._end_early(request_events.CallerGone())
         assert self.request.outcome is not None
         return self.request.outcome
 
-    def _abandon(self, event: request_events.CallerGone | request_events.RouterFailed) -> None:
-        """Tell engines and owner when the task ends before the request does."""
+    def _end_early(self, event: request_events.CallerGone | request_events.RouterFailed) -> None:
+        """Cancel engine work and release the grant when the task ends before the request."""
         for command in requests.step(self.request, event, self._kernel.now_ms()):
             self._perform_now(command)
 
@@ -152,24 +153,24 @@
     def _perform_now(self, command: request_events.Command) -> None:
         match command:
             case request_events.AskOwner():
-                self._tell(self._ask(command))
+                self._send(self._ask(command))
             case request_events.TellPrefilled():
-                self._tell(self._prefilled(command))
+                self._send(self._prefilled(command))
             case request_events.ReleaseGrant():
-                self._tell(self._release(command))
+                self._send(self._release(command))
             case request_events.CancelAt():
                 self._cancel(command)
 
     def _cancel(self, command: request_events.CancelAt) -> None:
-        """Order a cancel; an endpoint that this node does not know was sent nothing."""
+        """Queue a cancel order; an endpoint unknown to this node was never sent any work."""
         endpoint = self._endpoints.get(command.endpoint)
         if endpoint is not None:
             key = RequestKey(self.request.request_id, command.attempt)
             order = CancelOrder(command.endpoint, endpoint.address, key)
             self._kernel.post("cancels", order)
 
-    def _tell(self, message: Ask | Prefilled | Release) -> None:
-        self._owners.tell_owner(self.job.cell.name, message)
+    def _send(self, message: Ask | Prefilled | Release) -> None:
+        self._owners.send_to_owner(self.job.cell.name, message)
 
     def _ask(self, command: request_events.AskOwner) -> Ask:
         request = self.request
@@ -261,14 +262,14 @@
             offset=command.offset,
             import_within_ms=command.import_within_ms,
         )
-        await self._follow(command.endpoint, call)
+        await self._read_stream(command.endpoint, call)
 
     async def _resume(self, command: request_events.ResumeDecode) -> None:
         call = Resume(self.request.request_id, command.attempt, command.offset)
-        await self._follow(command.endpoint, call)
+        await self._read_stream(command.endpoint, call)
 
-    async def _follow(self, name: str, call: Decode | Resume) -> None:
-        """Read a stream to its end; whatever breaks it becomes one event."""
+    async def _read_stream(self, name: str, call: Decode | Resume) -> None:
+        """Read a decode stream to its end; any failure is reported as one event."""
         endpoint: Endpoint | None = self._endpoints.get(name)
         address = endpoint.address if endpoint else "127.0.0.1:0"
         opened_ok = isinstance(call, Resume)
@@ -277,13 +278,13 @@
         try:
             async with self._engines.open_decode(address, call, STREAM_IDLE_MS) as opened:
                 if isinstance(opened, Err):
-                    await self._outbox.send(_refused(call, opened.err_value))
+                    await self._outbox.send(_open_failure(call, opened.err_value))
                     return
                 opened_ok = True
                 async for line in opened.ok_value:
                     event = _read_line(call.attempt, line)
                     if line.done or line.cancelled:
-                        # Read on to the end of the body, so that the connection is used again.
+                        # Read to the end of the body, so that the connection can be reused.
                         last = event
                     else:
                         await self._outbox.send(event)
@@ -306,7 +307,7 @@
     return request_events.TokensArrived(attempt, line.offset, line.tokens)
 
 
-def _refused(call: Decode | Resume, failure: EngineFailure) -> request_events.Event:
+def _open_failure(call: Decode | Resume, failure: EngineFailure) -> request_events.Event:
     if isinstance(call, Resume):
         return request_events.DecodeBroken(call.attempt, engine_alive=False, failure=failure.kind)
     kv_lost = failure.status in (409, 410)
--- a/tools/claim_bench.py
+++ b/tools/claim_bench.py
@@ -37,7 +37,7 @@
 
     def _ask(self, index: int) -> None:
         key = claims.claim_key("o", str(index))
-        self._step(claims.shard_of(key), claims.Asked(key, f"r{index}", "n"))
+        self._step(claims.shard_of(key), claims.ClaimRequested(key, f"r{index}", "n"))
 
     def _tick(self) -> None:
         for name in [name for name, state in self.shards.items() if not state.idle]:
@@ -65,7 +65,7 @@
 
 def print_claims() -> None:
     """Print the table."""
-    print(f"Claims: {claims.SHARDS} shards, written each {claims.GATHER_MS} ms at most.")
+    print(f"Claims: {claims.SHARDS} shards, written each {claims.WRITE_INTERVAL_MS} ms at most.")
     print(
         f"{'claims/s':>8} {'writes/s':>9} {'a claim':>8} {'reads':>6} {'MB/s':>6} "
         f"{'wait p50 ms':>12} {'p99':>7}"
