--- a/saffronworks/forwarding/reservations.py
+++ b/saffronworks/forwarding/reservations.py
@@ -114,7 +114,9 @@
             self.node.figures.count_send("hold", "limited")
             return events.HoldFailed(endpoint.instance, broken=False)
         try:
-            hold = await self._take_hold_with_headroom(command, limited=permit is not UNCOUNTED_PERMIT)
+            hold = await self._take_hold_with_headroom(
+                command, limited=permit is not UNCOUNTED_PERMIT
+            )
         except Break as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
