--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.starts import StartId, is_later, start_id
 from saffronworks.forwarding.store_revisions import StoreRevision
 
-__all__ = ["Directory", "Heard", "ServiceEndpoint"]
+__all__ = ["Directory", "EntryUpdate", "ServiceEndpoint"]
 
 # How long a start that is over is remembered, so that it does not come back by a stale listing or a
 # watch that was rewound: the store's answers may be seconds old, its history spans 20 s.
@@ -41,7 +41,7 @@
         return start_id(self.name, self.born_ms)
 
 
-class Heard(enum.Enum):
+class EntryUpdate(enum.Enum):
     """What an entry brought."""
 
     SAME = "same"
@@ -116,7 +116,9 @@
             self.remove(name, now_ms, lapse_until_ms)
         return missing
 
-    def put_listed(self, endpoint: ServiceEndpoint, revision: StoreRevision, now_ms: int) -> Heard:
+    def put_listed(
+        self, endpoint: ServiceEndpoint, revision: StoreRevision, now_ms: int
+    ) -> EntryUpdate:
         """Take an entry of the store, which wrote it at that revision."""
         name = endpoint.name
         known, last = self.named(name), self._revisions.get(name)
@@ -124,7 +126,7 @@
             if self._removed.was_draining(name):
                 endpoint = attrs.evolve(endpoint, draining=True)
             self._withheld.setdefault(name, (endpoint, now_ms + WITHHOLD_RESTORED_MS))
-            return Heard.WITHHELD
+            return EntryUpdate.WITHHELD
         self._withheld.pop(name, None)
         same_start = known is not None and not is_later(endpoint.born_ms, known.born_ms)
         if known and known.draining and same_start and last and revision.is_reverted_from(last):
@@ -132,19 +134,19 @@
         self._revisions[name] = revision
         return self.put(endpoint)
 
-    def put(self, endpoint: ServiceEndpoint) -> Heard:
+    def put(self, endpoint: ServiceEndpoint) -> EntryUpdate:
         """Take an entry, unless a later start is known, or its address was lost."""
         known, past = self.named(endpoint.name), self._past.get(endpoint.name)
         last = known or past
         if last is not None and endpoint.born_ms is None:
             endpoint = attrs.evolve(endpoint, born_ms=last.born_ms)
         if past is not None and past.covers(endpoint):
-            return Heard.OVER
+            return EntryUpdate.OVER
         if known is not None and is_later(known.born_ms, endpoint.born_ms):
-            return Heard.OVER
+            return EntryUpdate.OVER
         self._usable_until_ms.pop(endpoint.instance, None)
         if known == endpoint:
-            return Heard.SAME
+            return EntryUpdate.SAME
         before = self._last_start(endpoint.name)
         if known is not None:
             self._drop(known)
@@ -152,9 +154,9 @@
         self.endpoints[endpoint.instance] = endpoint
         self._by_name[endpoint.name] = endpoint.instance
         if before is None or before == endpoint.instance:
-            return Heard.CHANGED
+            return EntryUpdate.CHANGED
         self._ended.append(before)
-        return Heard.RESTARTED
+        return EntryUpdate.RESTARTED
 
     def _last_start(self, name: str) -> StartId | None:
         past = self._past.get(name)
--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.directory import Directory, Heard, ServiceEndpoint
+from saffronworks.forwarding.directory import Directory, EntryUpdate, ServiceEndpoint
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreRevision
 from saffronworks.platform.server_entries import ServerEntry, read_entry
@@ -141,14 +141,14 @@
         heard = self._directory.put_listed(endpoint, revision, now_ms)
         self._bad.told.pop(endpoint.name, None)
         match heard:
-            case Heard.SAME:
+            case EntryUpdate.SAME:
                 return
-            case Heard.WITHHELD:
+            case EntryUpdate.WITHHELD:
                 logger.info(
                     "event=endpoint_withheld endpoint=%s revision=%s", endpoint.instance, revision
                 )
                 return
-            case Heard.OVER:
+            case EntryUpdate.OVER:
                 logger.info(
                     "event=endpoint_over endpoint=%s address=%s known=%s after_rev=%s",
                     endpoint.instance,
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -6,7 +6,7 @@
 
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import role_core as roles
-from saffronworks.forwarding.directory import WITHHOLD_RESTORED_MS, Directory, Heard
+from saffronworks.forwarding.directory import WITHHOLD_RESTORED_MS, Directory, EntryUpdate
 from saffronworks.forwarding.ports import StoredObject
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.role_keeper import _read_duty
@@ -40,7 +40,7 @@
 @then("it is left unused as long as it is the old entry, for six seconds at most")
 def left_unused(context):
     directory, endpoint = context.make_directory()
-    assert restore_entry(directory, endpoint, at(5, epoch=2)) is Heard.WITHHELD
+    assert restore_entry(directory, endpoint, at(5, epoch=2)) is EntryUpdate.WITHHELD
     later_ms = 2000 + WITHHOLD_RESTORED_MS
     assert not directory.usable("s", 2000) and not directory.usable("s", later_ms - 1)
     assert directory.usable("s", later_ms) == [endpoint]
@@ -50,7 +50,7 @@
 def written_again(context):
     directory, endpoint = context.make_directory()
     restore_entry(directory, endpoint, at(5, epoch=2))
-    assert directory.put_listed(endpoint, at(6, epoch=2), now_ms=2500) is not Heard.WITHHELD
+    assert directory.put_listed(endpoint, at(6, epoch=2), now_ms=2500) is not EntryUpdate.WITHHELD
     assert directory.usable("s", 2500) == [endpoint]
 
 
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -12,7 +12,7 @@
 from saffronworks.forwarding.directory import (
     REMEMBER_START_MS,
     Directory,
-    Heard,
+    EntryUpdate,
     ServiceEndpoint,
 )
 from saffronworks.forwarding.figures import Figures
@@ -50,7 +50,7 @@
     gone.remove("e0", now_ms=10)
     for directory in (drained, replaced, gone):
         assert usable(directory) == set()
-        assert directory.put(later) is Heard.RESTARTED
+        assert directory.put(later) is EntryUpdate.RESTARTED
         assert usable(directory) == {"e0@9"}
         assert directory.take_ended() == ["e0@5"] and not directory.take_ended()
 
@@ -77,12 +77,12 @@
     early, late = start(born_ms=5), start(born_ms=9)
     directory = knows(early)
     directory.put(late)
-    assert directory.put(early) is Heard.OVER
+    assert directory.put(early) is EntryUpdate.OVER
     directory.replace([early], at(2), now_ms=10)
     assert usable(directory) == {"e0@9"}
     directory.remove("e0", now_ms=20)
-    assert directory.put(early) is Heard.OVER and not usable(directory)
-    assert directory.put(late) is Heard.CHANGED and usable(directory) == {"e0@9"}
+    assert directory.put(early) is EntryUpdate.OVER and not usable(directory)
+    assert directory.put(late) is EntryUpdate.CHANGED and usable(directory) == {"e0@9"}
 
 
 @then("an entry without a time of its start goes by its name")
@@ -90,13 +90,13 @@
     plain, timed = start(), start(born_ms=5)
     directory = knows(plain)
     assert usable(directory) == {"e0"}
-    assert directory.put(timed) is Heard.RESTARTED
-    assert directory.put(attrs.evolve(plain, draining=True)) is Heard.CHANGED
+    assert directory.put(timed) is EntryUpdate.RESTARTED
+    assert directory.put(attrs.evolve(plain, draining=True)) is EntryUpdate.CHANGED
     assert directory.named("e0").instance == "e0@5" and not usable(directory)
     lost = knows(plain)
     lost.note_replaced("e0")
-    assert lost.put(plain) is Heard.OVER
-    assert lost.put(start(address="127.0.0.1:2")) is Heard.CHANGED
+    assert lost.put(plain) is EntryUpdate.OVER
+    assert lost.put(start(address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
 
 @then("two entries may name one address until the endpoint there answers")
@@ -104,9 +104,9 @@
     directory = knows(start("e0", 5), start("e1", 9), start("e2"))
     assert usable(directory) == {"e0@5", "e1@9", "e2"}
     directory.note_replaced(StartId("e1@9"))
-    assert directory.put(start("e1", 9)) is Heard.OVER
+    assert directory.put(start("e1", 9)) is EntryUpdate.OVER
     assert usable(directory) == {"e0@5", "e2"}
-    assert directory.put(start("e1", 9, address="127.0.0.1:2")) is Heard.CHANGED
+    assert directory.put(start("e1", 9, address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
 
 NAMES = ("a", "b", "c")
