--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -44,7 +44,7 @@
 class EntryUpdate(enum.Enum):
     """What an entry brought."""
 
-    SAME = "same"
+    UNCHANGED = "same"
     CHANGED = "changed"
     # A later start under a known name.
     RESTARTED = "restarted"
@@ -146,7 +146,7 @@
             return EntryUpdate.OVER
         self._usable_until_ms.pop(endpoint.instance, None)
         if known == endpoint:
-            return EntryUpdate.SAME
+            return EntryUpdate.UNCHANGED
         before = self._last_start(endpoint.name)
         if known is not None:
             self._drop(known)
--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -141,7 +141,7 @@
         heard = self._directory.put_listed(endpoint, revision, now_ms)
         self._bad.told.pop(endpoint.name, None)
         match heard:
-            case EntryUpdate.SAME:
+            case EntryUpdate.UNCHANGED:
                 return
             case EntryUpdate.WITHHELD:
                 logger.info(
