--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -49,7 +49,7 @@
     # A later start under a known name.
     RESTARTED = "restarted"
     # An earlier start than the one known, or one at whose address another endpoint answered.
-    OVER = "over"
+    OBSOLETE = "over"
     # An entry that had gone, from the copy that the store was restored from.
     WITHHELD = "withheld"
 
@@ -141,9 +141,9 @@
         if last is not None and endpoint.born_ms is None:
             endpoint = attrs.evolve(endpoint, born_ms=last.born_ms)
         if past is not None and past.covers(endpoint):
-            return EntryUpdate.OVER
+            return EntryUpdate.OBSOLETE
         if known is not None and is_later(known.born_ms, endpoint.born_ms):
-            return EntryUpdate.OVER
+            return EntryUpdate.OBSOLETE
         self._usable_until_ms.pop(endpoint.instance, None)
         if known == endpoint:
             return EntryUpdate.UNCHANGED
--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -148,7 +148,7 @@
                     "event=endpoint_withheld endpoint=%s revision=%s", endpoint.instance, revision
                 )
                 return
-            case EntryUpdate.OVER:
+            case EntryUpdate.OBSOLETE:
                 logger.info(
                     "event=endpoint_over endpoint=%s address=%s known=%s after_rev=%s",
                     endpoint.instance,
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -77,11 +77,11 @@
     early, late = start(born_ms=5), start(born_ms=9)
     directory = knows(early)
     directory.put(late)
-    assert directory.put(early) is EntryUpdate.OVER
+    assert directory.put(early) is EntryUpdate.OBSOLETE
     directory.replace([early], at(2), now_ms=10)
     assert usable(directory) == {"e0@9"}
     directory.remove("e0", now_ms=20)
-    assert directory.put(early) is EntryUpdate.OVER and not usable(directory)
+    assert directory.put(early) is EntryUpdate.OBSOLETE and not usable(directory)
     assert directory.put(late) is EntryUpdate.CHANGED and usable(directory) == {"e0@9"}
 
 
@@ -95,7 +95,7 @@
     assert directory.named("e0").instance == "e0@5" and not usable(directory)
     lost = knows(plain)
     lost.note_replaced("e0")
-    assert lost.put(plain) is EntryUpdate.OVER
+    assert lost.put(plain) is EntryUpdate.OBSOLETE
     assert lost.put(start(address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
 
@@ -104,7 +104,7 @@
     directory = knows(start("e0", 5), start("e1", 9), start("e2"))
     assert usable(directory) == {"e0@5", "e1@9", "e2"}
     directory.note_replaced(StartId("e1@9"))
-    assert directory.put(start("e1", 9)) is EntryUpdate.OVER
+    assert directory.put(start("e1", 9)) is EntryUpdate.OBSOLETE
     assert usable(directory) == {"e0@5", "e2"}
     assert directory.put(start("e1", 9, address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
