--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -14,7 +14,7 @@
 
 # How long a start that is over is remembered, so that it does not come back by a stale listing or a
 # watch that was rewound: the store's answers may be seconds old, its history spans 20 s.
-REMEMBER_START_MS = 60_000
+OBSOLETE_START_TTL_MS = 60_000
 # How long an entry that only a restored copy has is left unused: the store drops entries that their
 # endpoints do not write after three heartbeats, and all others are written within two seconds.
 WITHHOLD_RESTORED_MS = 6000
@@ -172,7 +172,7 @@
         """An entry is gone; until `lapse_until_ms` the store's own outage may be the cause."""
         past = self._past.get(name)
         if past is not None and past.forget_at_ms is None:
-            past.forget_at_ms = now_ms + REMEMBER_START_MS
+            past.forget_at_ms = now_ms + OBSOLETE_START_TTL_MS
         self._withheld.pop(name, None)
         known, revision = self.named(name), self._revisions.pop(name, None)
         if known is None:
@@ -188,7 +188,7 @@
         self._drop(endpoint)
         self._forget_past(now_ms)
         if endpoint.born_ms is not None:
-            forget_at_ms = now_ms + REMEMBER_START_MS
+            forget_at_ms = now_ms + OBSOLETE_START_TTL_MS
             self._past[endpoint.name] = _Past(endpoint.born_ms, forget_at_ms=forget_at_ms)
 
     def _forget_past(self, now_ms: int) -> None:
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.breaks import BreakCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.directory import (
-    REMEMBER_START_MS,
+    OBSOLETE_START_TTL_MS,
     Directory,
     EntryUpdate,
     ServiceEndpoint,
@@ -124,7 +124,7 @@
     st.tuples(st.just("lapse"), st.sampled_from(NAMES)),
     st.tuples(st.just("replaced"), st.sampled_from(NAMES)),
     st.tuples(st.just("list"), st.lists(ENTRIES, max_size=4)),
-    st.tuples(st.just("wait"), st.integers(1, REMEMBER_START_MS // 2)),
+    st.tuples(st.just("wait"), st.integers(1, OBSOLETE_START_TTL_MS // 2)),
 )
 LAPSE_MS = 2000
 
