--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -103,9 +103,9 @@
         for endpoint in listed:
             self.put(endpoint)
         names = {endpoint.name for endpoint in listed}
-        return self.keep(names, revision, now_ms, lapse_until_ms)
+        return self.remove_missing(names, revision, now_ms, lapse_until_ms)
 
-    def keep(
+    def remove_missing(
         self, names: set[str], revision: StoreRevision, now_ms: int, lapse_until_ms: int = 0
     ) -> list[str]:
         """Remove all but those that a whole listing has; returns the names that went."""
--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -99,7 +99,7 @@
         now_ms = self._now_ms()
         names = {item.name for item in listing.objects}
         self._take(listing.objects, now_ms, lapse_until_ms)
-        for name in self._directory.keep(names, listing.revision, now_ms, lapse_until_ms):
+        for name in self._directory.remove_missing(names, listing.revision, now_ms, lapse_until_ms):
             self._log_gone(name, lapse_until_ms - now_ms)
         self._bad.told = {name: at for name, at in self._bad.told.items() if name in names}
         self._changed()
--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -24,8 +24,8 @@
         directory = Directory()
         endpoint = attrs.evolve(endpoints(1)[0], draining=draining)
         directory.put_listed(endpoint, at(5), now_ms=0)
-        directory.keep({endpoint.name}, at(8), now_ms=0)
-        directory.keep(set(), at(9), now_ms=1000)
+        directory.remove_missing({endpoint.name}, at(8), now_ms=0)
+        directory.remove_missing(set(), at(9), now_ms=1000)
         return directory, attrs.evolve(endpoint, draining=False)
 
     context.make_directory = make
@@ -33,7 +33,7 @@
 
 def restore_entry(directory, endpoint, revision):
     heard = directory.put_listed(endpoint, revision, now_ms=2000)
-    directory.keep({endpoint.name}, at(7, epoch=2), now_ms=2000)
+    directory.remove_missing({endpoint.name}, at(7, epoch=2), now_ms=2000)
     return heard
 
 
