--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -196,7 +196,7 @@
             if past.forget_at_ms is not None and now_ms >= past.forget_at_ms:
                 del self._past[name]
 
-    def note_replaced(self, instance: StartId) -> None:
+    def mark_replaced(self, instance: StartId) -> None:
         """Another endpoint answered at its address: there, this start of it is over for good."""
         known = self.endpoints.get(instance)
         if known is not None:
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -112,7 +112,7 @@
         """Forget an endpoint whose address another one has; the store may tell it later or not."""
         if head.found_name is None or head.found_name == endpoint.name:
             return
-        self.directory.note_replaced(endpoint.instance)
+        self.directory.mark_replaced(endpoint.instance)
         logger.info(
             "event=endpoint_replaced endpoint=%s address=%s by=%s endpoints_rev=%s",
             endpoint.instance,
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -226,7 +226,7 @@
 def stays_gone(context):
     directory, lost = Directory(), endpoints(1)[0]
     directory.replace([lost], at(1), now_ms=0)
-    directory.note_replaced("e0")
+    directory.mark_replaced("e0")
     directory.put(lost)
     directory.replace([lost], at(2), now_ms=10)
     assert not may_use(directory, "e0", 20)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -45,7 +45,7 @@
     later = start(born_ms=9)
     drained = knows(start(born_ms=5, draining=True))
     replaced = knows(start(born_ms=5))
-    replaced.note_replaced("e0@5")
+    replaced.mark_replaced("e0@5")
     gone = knows(start(born_ms=5))
     gone.remove("e0", now_ms=10)
     for directory in (drained, replaced, gone):
@@ -94,7 +94,7 @@
     assert directory.put(attrs.evolve(plain, draining=True)) is EntryUpdate.CHANGED
     assert directory.named("e0").instance == "e0@5" and not usable(directory)
     lost = knows(plain)
-    lost.note_replaced("e0")
+    lost.mark_replaced("e0")
     assert lost.put(plain) is EntryUpdate.OBSOLETE
     assert lost.put(start(address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
@@ -103,7 +103,7 @@
 def one_address(context):
     directory = knows(start("e0", 5), start("e1", 9), start("e2"))
     assert usable(directory) == {"e0@5", "e1@9", "e2"}
-    directory.note_replaced(StartId("e1@9"))
+    directory.mark_replaced(StartId("e1@9"))
     assert directory.put(start("e1", 9)) is EntryUpdate.OBSOLETE
     assert usable(directory) == {"e0@5", "e2"}
     assert directory.put(start("e1", 9, address="127.0.0.1:2")) is EntryUpdate.CHANGED
@@ -154,7 +154,7 @@
             known = directory.named(name)
             if known is not None:
                 model.lost[name] = known.address
-                directory.note_replaced(known.instance)
+                directory.mark_replaced(known.instance)
         case "list", listed:
             for endpoint in listed:
                 model.hear(endpoint)
