--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -13,8 +13,8 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
+    ANSWER_RESERVATION_FACTOR,
     GIVE_UP_LEAST_MS,
-    HINT_RESERVE,
     PATIENCE_SHARE,
     RESUME_LEAST_LEFT_MS,
     RETURNED_PATIENCE_SHARE,
@@ -30,7 +30,7 @@
 
 def reserve_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
     """Memory to reserve: the prompt and a likely length of the answer, the most at most."""
-    answer = min(prompt.most_answer_tokens, int(HINT_RESERVE * prompt.likely_tokens))
+    answer = min(prompt.most_answer_tokens, int(ANSWER_RESERVATION_FACTOR * prompt.likely_tokens))
     return min(prompt.prompt_tokens + answer, capacity_tokens)
 
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -4,7 +4,7 @@
 
 # Memory reserved for an answer, as a multiple of the caller's hint of its length. An engine keeps
 # the whole reservation until the run's end, so what exceeds the answer lies idle.
-HINT_RESERVE = 1.0
+ANSWER_RESERVATION_FACTOR = 1.0
 # Share of an engine's memory that must be free beside a new reservation: half of the answers grow
 # beyond their hint, and a run that finds no memory is put back and reads its prompt anew. Trials
 # (worth on calm days of two sites): 1.6 x hint without headroom 0.62 and 0.52, 1.0 x with none 0.70
