--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -23,7 +23,7 @@
 from saffronworks.forwarding.runners import Job, NodeState
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    HEADROOM_MS,
+    HEADROOM_HOLD_TTL_MS,
 )
 
 __all__ = ["Place", "StreamPace"]
@@ -138,7 +138,7 @@
         # An endpoint in need is spared the two calls.
         if command.headroom_tokens and not limited:
             free = await calls.take_hold(
-                endpoint, request, command.headroom_tokens, HEADROOM_MS, now_ms()
+                endpoint, request, command.headroom_tokens, HEADROOM_HOLD_TTL_MS, now_ms()
             )
             if isinstance(free, Err):
                 return free
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -11,7 +11,7 @@
 # and 0.41, 1.0 x with this 0.75 and 0.58, 1.0 x with 0.16 less on each of three days.
 HEADROOM_SHARE = 0.09
 # The reservation of the headroom is given back at once; it lapses by itself if that fails.
-HEADROOM_MS = 500
+HEADROOM_HOLD_TTL_MS = 500
 # Pause between two rounds of asking full decode endpoints: a run ends every 80 ms at 13 runs/s.
 HOLD_POLL_MS = 40
 # Pause for each of many full endpoints, if that is longer: a request without a planner asks them
