--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -51,9 +51,9 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    HOLD_ASK_MS,
     HOLD_MS,
     HOLD_POLL_MS,
+    HOLD_POLL_PER_ENDPOINT_MS,
     MOST_REDIRECTS,
     PREFILL_TIMEOUT_MS,
     RESUME_LEAST_LEFT_MS,
@@ -252,7 +252,7 @@
         refusal = refuse_blocked(blocks)
         if now_ms + refusal.not_before_ms >= state.patience_until_ms:
             return _GiveUp(refusal)
-    pause_ms = max(HOLD_POLL_MS, HOLD_ASK_MS * len(pools.decoders))
+    pause_ms = max(HOLD_POLL_MS, HOLD_POLL_PER_ENDPOINT_MS * len(pools.decoders))
     if now_ms + pause_ms < state.patience_until_ms:
         state.failed.clear()
         return Wait(pause_ms)
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -16,7 +16,7 @@
 HOLD_POLL_MS = 40
 # Pause for each of many full endpoints, if that is longer: a request without a planner asks them
 # all in a round.
-HOLD_ASK_MS = 10
+HOLD_POLL_PER_ENDPOINT_MS = 10
 # A first refusal goes out within this share of the target, so that the caller can still return.
 PATIENCE_SHARE = 0.2
 # A caller who was refused before waits for this share of the time within which it wants a first
