--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -14,8 +14,8 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     ANSWER_RESERVATION_FACTOR,
+    FIRST_REFUSAL_TARGET_SHARE,
     GIVE_UP_LEAST_MS,
-    PATIENCE_SHARE,
     RESUME_LEAST_LEFT_MS,
     RETURNED_PATIENCE_SHARE,
 )
@@ -128,4 +128,4 @@
         """Until when a request that finds no memory waits for it."""
         if self.begun or self.returned:
             return self.gives_up_at_ms
-        return self.arrived_ms + PATIENCE_SHARE * self.target_ms
+        return self.arrived_ms + FIRST_REFUSAL_TARGET_SHARE * self.target_ms
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -18,7 +18,7 @@
 # all in a round.
 HOLD_POLL_PER_ENDPOINT_MS = 10
 # A first refusal goes out within this share of the target, so that the caller can still return.
-PATIENCE_SHARE = 0.2
+FIRST_REFUSAL_TARGET_SHARE = 0.2
 # A caller who was refused before waits for this share of the time within which it wants a first
 # event: a late answer is still worth a fifth, and the rest is for reading the prompt.
 RETURNED_PATIENCE_SHARE = 0.85
