--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -17,7 +17,7 @@
     FIRST_REFUSAL_TARGET_SHARE,
     GIVE_UP_LEAST_MS,
     RESUME_LEAST_LEFT_MS,
-    RETURNED_PATIENCE_SHARE,
+    RETRY_WAIT_SHARE,
 )
 
 __all__ = ["GenerationState", "Out", "Pools", "planned_tokens", "reserve_tokens"]
@@ -121,7 +121,7 @@
         if self.begun:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
         gives_up_ms = min(self.gives_up_ms, self.deadline_at_ms - self.arrived_ms)
-        return self.arrived_ms + RETURNED_PATIENCE_SHARE * gives_up_ms
+        return self.arrived_ms + RETRY_WAIT_SHARE * gives_up_ms
 
     @property
     def patience_until_ms(self) -> float:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -21,7 +21,7 @@
 FIRST_REFUSAL_TARGET_SHARE = 0.2
 # A caller who was refused before waits for this share of the time within which it wants a first
 # event: a late answer is still worth a fifth, and the rest is for reading the prompt.
-RETURNED_PATIENCE_SHARE = 0.85
+RETRY_WAIT_SHARE = 0.85
 # Callers give a stream up after the longest of a fixed time and multiples of its targets.
 GIVE_UP_LEAST_MS = 2000
 GIVE_UP_TARGETS = 4
