--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -44,7 +44,7 @@
     GIVE_UP_TARGETS,
     HANDLE_DISTRUST_MS,
     HEADROOM_SHARE,
-    RETURNED_BELOW_SHARE,
+    RETRY_TIME_LEFT_SHARE,
 )
 
 __all__ = ["run_generation"]
@@ -71,7 +71,7 @@
         hold_most_ms=engine.hold_most_ms,
         headroom_tokens=int(HEADROOM_SHARE * engine.kv_capacity_tokens),
         gives_up_ms=first_event_limit_ms(job.route),
-        returned=job.request.left_ms < RETURNED_BELOW_SHARE * usual_left_ms,
+        returned=job.request.left_ms < RETRY_TIME_LEFT_SHARE * usual_left_ms,
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
     relay = StreamRelay(node, job, state, engine.tokens_per_event)
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -27,7 +27,7 @@
 GIVE_UP_TARGETS = 4
 GIVE_UP_PAUSES = 8
 # A caller with less time left than this share of the route's usual time has been here before.
-RETURNED_BELOW_SHARE = 0.97
+RETRY_TIME_LEFT_SHARE = 0.97
 # A hold is asked for at most this long; reading a prompt of 11,000 tokens takes 200 ms.
 HOLD_MS = 2000
 # Asked of an endpoint for a hold, a drop or a report; the round trip is 1 to 7 ms.
