--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -39,7 +39,7 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
-    GIVE_UP_LEAST_MS,
+    CALLER_TIMEOUT_MIN_MS,
     GIVE_UP_PAUSES,
     GIVE_UP_TARGETS,
     HANDLE_DISTRUST_MS,
@@ -81,7 +81,7 @@
 def first_event_limit_ms(route: Route) -> int:
     """After how long without a first event callers of a route leave."""
     by_target_ms = GIVE_UP_TARGETS * route.target_ms
-    return max(GIVE_UP_LEAST_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
+    return max(CALLER_TIMEOUT_MIN_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
 
 
 class _GenerationRun:
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -14,8 +14,8 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     ANSWER_RESERVATION_FACTOR,
+    CALLER_TIMEOUT_MIN_MS,
     FIRST_REFUSAL_TARGET_SHARE,
-    GIVE_UP_LEAST_MS,
     RESUME_LEAST_LEFT_MS,
     RETRY_WAIT_SHARE,
 )
@@ -82,7 +82,7 @@
     deadline_at_ms: int
     hold_most_ms: int
     headroom_tokens: int = 0
-    gives_up_ms: int = GIVE_UP_LEAST_MS
+    gives_up_ms: int = CALLER_TIMEOUT_MIN_MS
     returned: bool = False
     runs: int = 0
     redirects: int = 0
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -23,7 +23,7 @@
 # event: a late answer is still worth a fifth, and the rest is for reading the prompt.
 RETRY_WAIT_SHARE = 0.85
 # Callers give a stream up after the longest of a fixed time and multiples of its targets.
-GIVE_UP_LEAST_MS = 2000
+CALLER_TIMEOUT_MIN_MS = 2000
 GIVE_UP_TARGETS = 4
 GIVE_UP_PAUSES = 8
 # A caller with less time left than this share of the route's usual time has been here before.
