--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -24,7 +24,7 @@
 RETRY_WAIT_SHARE = 0.85
 # Callers give a stream up after the longest of a fixed time and multiples of its targets.
 CALLER_TIMEOUT_MIN_MS = 2000
-GIVE_UP_TARGETS = 4
+CALLER_TIMEOUT_TARGETS = 4
 GIVE_UP_PAUSES = 8
 # A caller with less time left than this share of the route's usual time has been here before.
 RETRY_TIME_LEFT_SHARE = 0.97
