--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -39,9 +39,9 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
+    CALLER_TIMEOUT_GAPS,
     CALLER_TIMEOUT_MIN_MS,
     CALLER_TIMEOUT_TARGETS,
-    GIVE_UP_PAUSES,
     HANDLE_DISTRUST_MS,
     HEADROOM_SHARE,
     RETRY_TIME_LEFT_SHARE,
@@ -81,7 +81,7 @@
 def first_event_limit_ms(route: Route) -> int:
     """After how long without a first event callers of a route leave."""
     by_target_ms = CALLER_TIMEOUT_TARGETS * route.target_ms
-    return max(CALLER_TIMEOUT_MIN_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
+    return max(CALLER_TIMEOUT_MIN_MS, by_target_ms, CALLER_TIMEOUT_GAPS * route.gap_target_ms)
 
 
 class _GenerationRun:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -25,7 +25,7 @@
 # Callers give a stream up after the longest of a fixed time and multiples of its targets.
 CALLER_TIMEOUT_MIN_MS = 2000
 CALLER_TIMEOUT_TARGETS = 4
-GIVE_UP_PAUSES = 8
+CALLER_TIMEOUT_GAPS = 8
 # A caller with less time left than this share of the route's usual time has been here before.
 RETRY_TIME_LEFT_SHARE = 0.97
 # A hold is asked for at most this long; reading a prompt of 11,000 tokens takes 200 ms.
