--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -51,9 +51,9 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    HOLD_MS,
     HOLD_POLL_MS,
     HOLD_POLL_PER_ENDPOINT_MS,
+    HOLD_TTL_MS,
     MOST_REDIRECTS,
     PREFILL_TIMEOUT_MS,
     RESUME_LEAST_LEFT_MS,
@@ -226,7 +226,7 @@
 
 def _hold_ms(state: GenerationState, now_ms: int) -> int:
     """How long a reservation is asked for; the deadline may be a moment past already."""
-    return min(HOLD_MS, state.hold_most_ms, max(1, state.deadline_at_ms - now_ms))
+    return min(HOLD_TTL_MS, state.hold_most_ms, max(1, state.deadline_at_ms - now_ms))
 
 
 def _take_place(state: GenerationState, instance: StartId, pools: Pools, now_ms: int) -> _Result:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -29,7 +29,7 @@
 # A caller with less time left than this share of the route's usual time has been here before.
 RETRY_TIME_LEFT_SHARE = 0.97
 # A hold is asked for at most this long; reading a prompt of 11,000 tokens takes 200 ms.
-HOLD_MS = 2000
+HOLD_TTL_MS = 2000
 # Asked of an endpoint for a hold, a drop or a report; the round trip is 1 to 7 ms.
 CALL_TIMEOUT_MS = 400
 # Reading a prompt: the slowest that still leaves the hold valid.
