--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -42,7 +42,7 @@
     CALLER_TIMEOUT_GAPS,
     CALLER_TIMEOUT_MIN_MS,
     CALLER_TIMEOUT_TARGETS,
-    HANDLE_DISTRUST_MS,
+    HANDLE_FAILURE_COOLDOWN_MS,
     HEADROOM_SHARE,
     RETRY_TIME_LEFT_SHARE,
 )
@@ -300,7 +300,7 @@
         )
         if handle is not None and not head.misdirected and not head.asks_pause:
             distrust = node.loads.of(handle.endpoint.instance)
-            distrust.no_prefill_until_ms = now_ms + HANDLE_DISTRUST_MS
+            distrust.no_prefill_until_ms = now_ms + HANDLE_FAILURE_COOLDOWN_MS
 
     async def _send_events(self) -> events.Event | None:
         assert self._stream is not None
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -35,7 +35,7 @@
 # Reading a prompt: the slowest that still leaves the hold valid.
 PREFILL_TIMEOUT_MS = 1500
 # An endpoint whose handle could not be fetched reads no prompts for this long.
-HANDLE_DISTRUST_MS = 2000
+HANDLE_FAILURE_COOLDOWN_MS = 2000
 
 # --- Refusals ----------------------------------------------------------------------------------
 
