--- a/saffronworks/forwarding/planning/refusals.py
+++ b/saffronworks/forwarding/planning/refusals.py
@@ -14,7 +14,7 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEAST_MS,
+    RETRY_AFTER_MIN_MS,
     RETRY_AFTER_MOST_MS,
 )
 
@@ -148,7 +148,7 @@
 ) -> int:
     """Returns are spread so that they take a part of what the endpoints grant to the priority."""
     priority = waiter.priority
-    earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
+    earliest_ms: float = now_ms + RETRY_AFTER_MIN_MS
     if state.order.rates.is_mixed(now_ms):
         earliest_ms = max(earliest_ms, turn_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -23,7 +23,7 @@
     WARM_UP_MS,
 )
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEAST_MS,
+    RETRY_AFTER_MIN_MS,
 )
 
 CAPACITY = 90_000
@@ -176,7 +176,7 @@
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + DECIDE_AFTER_MS)
     times = [refusal.retry_after_ms for refusal in refused(replies)]
     assert len(times) == 4 and times == sorted(times), times
-    assert times[0] >= RETRY_AFTER_LEAST_MS
+    assert times[0] >= RETRY_AFTER_MIN_MS
 
 
 @then("one who returned is kept waiting")
