--- a/saffronworks/forwarding/planning/refusals.py
+++ b/saffronworks/forwarding/planning/refusals.py
@@ -14,8 +14,8 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
+    RETRY_AFTER_MAX_MS,
     RETRY_AFTER_MIN_MS,
-    RETRY_AFTER_MOST_MS,
 )
 
 __all__ = ["ends_per_s", "refuse"]
@@ -153,6 +153,6 @@
         earliest_ms = max(earliest_ms, turn_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
     next_ms = state.next_return_ms.get(priority, 0.0) + 1000 / (RETURN_SHARE * granted_per_s)
-    at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MOST_MS)
+    at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MAX_MS)
     state.next_return_ms[priority] = at_ms
     return int(at_ms - now_ms)
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -41,7 +41,7 @@
 
 # A refused caller comes back spread over this span; a burst lasts 3 to 5 s and a run about 3 s.
 RETRY_AFTER_MIN_MS = 2400
-RETRY_AFTER_MOST_MS = 4600
+RETRY_AFTER_MAX_MS = 4600
 # A caller whom this node can't serve, and another one may: it comes back to another one at once,
 # and is in time there.
 ELSEWHERE_RETRY_MS = 100
--- a/saffronworks/tests/plan_reference.py
+++ b/saffronworks/tests/plan_reference.py
@@ -8,7 +8,7 @@
 from saffronworks.forwarding.planning.order import WaiterOrder
 from saffronworks.forwarding.planning.plans import Reply
 from saffronworks.forwarding.planning.tuning import DECIDE_AFTER_MS, RETURN_SHARE
-from saffronworks.forwarding.tuning import RETRY_AFTER_MIN_MS, RETRY_AFTER_MOST_MS
+from saffronworks.forwarding.tuning import RETRY_AFTER_MAX_MS, RETRY_AFTER_MIN_MS
 
 __all__ = ["without_priorities"]
 
@@ -54,7 +54,7 @@
     earliest_ms = now_ms + RETRY_AFTER_MIN_MS
     last_ms = state.next_return_ms.get(0, 0.0)
     next_ms = max(earliest_ms, last_ms + 1000 / (RETURN_SHARE * per_s))
-    state.next_return_ms[0] = min(next_ms, now_ms + RETRY_AFTER_MOST_MS)
+    state.next_return_ms[0] = min(next_ms, now_ms + RETRY_AFTER_MAX_MS)
     return int(state.next_return_ms[0] - now_ms)
 
 
