--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -13,7 +13,7 @@
 )
 from saffronworks.forwarding.routing import Route
 from saffronworks.forwarding.tuning import (
-    ELSEWHERE_RETRY_MS,
+    OTHER_NODE_RETRY_AFTER_MS,
 )
 
 __all__ = ["KEY_TAKEN_AWAY", "Identities"]
@@ -47,7 +47,7 @@
         if isinstance(key, BadKey):
             return Refuse(401, key.reason, not_run=False)
         if not self.in_touch():
-            return Refuse(503, "unknown-key-out-of-touch", True, ELSEWHERE_RETRY_MS)
+            return Refuse(503, "unknown-key-out-of-touch", True, OTHER_NODE_RETRY_AFTER_MS)
         return Refuse(401, "unknown-key", not_run=False)
 
     def holds(self, request: CallerRequest, route: Route) -> bool:
--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.shares.entry import Admitted, Command, Refused
 from saffronworks.forwarding.shares.holder import ShareChanged
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
-from saffronworks.forwarding.tuning import ELSEWHERE_RETRY_MS
+from saffronworks.forwarding.tuning import OTHER_NODE_RETRY_AFTER_MS
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
@@ -129,7 +129,7 @@
                 return QuotaCharge(ask, None)
             case Refused(retry_after_ms):
                 return Refuse(429, "over-quota", True, retry_after_ms)
-        return Refuse(503, "quota-unknown", True, ELSEWHERE_RETRY_MS)
+        return Refuse(503, "quota-unknown", True, OTHER_NODE_RETRY_AFTER_MS)
 
     # What a holder knows.
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -44,7 +44,7 @@
 RETRY_AFTER_MAX_MS = 4600
 # A caller whom this node can't serve, and another one may: it comes back to another one at once,
 # and is in time there.
-ELSEWHERE_RETRY_MS = 100
+OTHER_NODE_RETRY_AFTER_MS = 100
 # Callers honour a Retry-After only up to this share of the time that they have left.
 RETRY_AFTER_LEFT_SHARE = 0.33
 
