--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -21,8 +21,8 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.routing import Route
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEFT_SHARE,
     RETRY_AFTER_MAX_MS,
+    RETRY_AFTER_MAX_SHARE,
     RETRY_AFTER_MIN_MS,
 )
 from saffronworks.hashing import hash32
@@ -180,7 +180,7 @@
 def retry_after_ms(request: CallerRequest, now_ms: int) -> int:
     """When a refused caller should return: spread by its id, within what callers honour."""
     left_ms = request.arrived_ms + request.left_ms - now_ms
-    most_ms = min(RETRY_AFTER_MAX_MS, RETRY_AFTER_LEFT_SHARE * left_ms)
+    most_ms = min(RETRY_AFTER_MAX_MS, RETRY_AFTER_MAX_SHARE * left_ms)
     least_ms = min(RETRY_AFTER_MIN_MS, most_ms / 2)
     spread = hash32(request.request_id) / 2**32
     return max(1, int(least_ms + spread * (most_ms - least_ms)))
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -46,7 +46,7 @@
 # and is in time there.
 OTHER_NODE_RETRY_AFTER_MS = 100
 # Callers honour a Retry-After only up to this share of the time that they have left.
-RETRY_AFTER_LEFT_SHARE = 0.33
+RETRY_AFTER_MAX_SHARE = 0.33
 
 # --- Plain calls -------------------------------------------------------------------------------
 
