--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -54,7 +54,7 @@
     HOLD_POLL_MS,
     HOLD_POLL_PER_ENDPOINT_MS,
     HOLD_TTL_MS,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
     PREFILL_TIMEOUT_MS,
     RESUME_LEAST_LEFT_MS,
 )
@@ -320,7 +320,7 @@
 def _redirect(state: GenerationState, pools: Pools, now_ms: int, reason: str) -> _Result:
     """No endpoint runs it: start over, a few times, while it is worth it."""
     state.redirects += 1
-    if state.redirects > MOST_REDIRECTS:
+    if state.redirects > MAX_REDIRECTS:
         return _GiveUp(_refusal(state, reason))
     return _start_over(state, pools, now_ms)
 
--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -25,7 +25,7 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     HEDGE_SHARE,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
 )
 
 __all__ = [
@@ -189,7 +189,7 @@
 def _redirect(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
     """The last endpoint did not run it: another may."""
     state.redirects += 1
-    if state.redirects > MOST_REDIRECTS:
+    if state.redirects > MAX_REDIRECTS:
         return _give_up(state, choice, reason)
     return _send(state, choice, now_ms, reason)
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -53,7 +53,7 @@
 # A repeatable call that has no answer after this share of its target is tried elsewhere.
 HEDGE_SHARE = 0.8
 # Sends to further endpoints after one that says it did not run the request.
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 # Cost of an endpoint in another availability zone against one in this zone.
 AWAY_FACTOR = 3.0
 # Cost of an endpoint that fails all requests against one that fails none.
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -20,7 +20,7 @@
 from saffronworks.forwarding.tuning import (
     BUDGET_USED_SHARE,
     FORGET_HALF_LIFE_MS,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
 )
 from saffronworks.tests.endpoint_plays import (
     MOST_STEPS,
@@ -88,7 +88,7 @@
     def check(replies):
         ran, refused, _ = play_plain(False, replies)
         assert len(ran) <= 1, ran
-        assert refused <= MOST_REDIRECTS + 1
+        assert refused <= MAX_REDIRECTS + 1
 
     check()
 
