--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -6,7 +6,7 @@
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    AWAY_FACTOR,
+    CROSS_ZONE_COST_FACTOR,
     FAILURE_FACTOR,
     FORGET_HALF_LIFE_MS,
     PRIOR_LATENCY_MS,
@@ -46,7 +46,9 @@
         self._forget(now_ms)
         expected_ms = self.latency_ms * (1 + self.outstanding)
         return (
-            expected_ms * (1 + FAILURE_FACTOR * self.failure_share) * (AWAY_FACTOR if away else 1)
+            expected_ms
+            * (1 + FAILURE_FACTOR * self.failure_share)
+            * (CROSS_ZONE_COST_FACTOR if away else 1)
         )
 
     def _forget(self, now_ms: int) -> None:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -55,7 +55,7 @@
 # Sends to further endpoints after one that says it did not run the request.
 MAX_REDIRECTS = 2
 # Cost of an endpoint in another availability zone against one in this zone.
-AWAY_FACTOR = 3.0
+CROSS_ZONE_COST_FACTOR = 3.0
 # Cost of an endpoint that fails all requests against one that fails none.
 FAILURE_FACTOR = 8.0
 # Weight of the newest sample in the running averages of latency and failures.
