--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -7,7 +7,7 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     CROSS_ZONE_COST_FACTOR,
-    FAILURE_FACTOR,
+    FAILURE_COST_FACTOR,
     FORGET_HALF_LIFE_MS,
     PRIOR_LATENCY_MS,
     SAMPLE_WEIGHT,
@@ -47,7 +47,7 @@
         expected_ms = self.latency_ms * (1 + self.outstanding)
         return (
             expected_ms
-            * (1 + FAILURE_FACTOR * self.failure_share)
+            * (1 + FAILURE_COST_FACTOR * self.failure_share)
             * (CROSS_ZONE_COST_FACTOR if away else 1)
         )
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -57,7 +57,7 @@
 # Cost of an endpoint in another availability zone against one in this zone.
 CROSS_ZONE_COST_FACTOR = 3.0
 # Cost of an endpoint that fails all requests against one that fails none.
-FAILURE_FACTOR = 8.0
+FAILURE_COST_FACTOR = 8.0
 # Weight of the newest sample in the running averages of latency and failures.
 SAMPLE_WEIGHT = 0.2
 # Running averages fall back towards the prior with this half-life, so that endpoints return.
