--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -6,9 +6,9 @@
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
+    AVERAGE_HALF_LIFE_MS,
     CROSS_ZONE_COST_FACTOR,
     FAILURE_COST_FACTOR,
-    FORGET_HALF_LIFE_MS,
     PRIOR_LATENCY_MS,
     SAMPLE_WEIGHT,
 )
@@ -52,7 +52,7 @@
         )
 
     def _forget(self, now_ms: int) -> None:
-        kept = 0.5 ** (max(0, now_ms - self.updated_ms) / FORGET_HALF_LIFE_MS)
+        kept = 0.5 ** (max(0, now_ms - self.updated_ms) / AVERAGE_HALF_LIFE_MS)
         self.latency_ms = PRIOR_LATENCY_MS + (self.latency_ms - PRIOR_LATENCY_MS) * kept
         self.failure_share *= kept
         self.updated_ms = now_ms
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -61,7 +61,7 @@
 # Weight of the newest sample in the running averages of latency and failures.
 SAMPLE_WEIGHT = 0.2
 # Running averages fall back towards the prior with this half-life, so that endpoints return.
-FORGET_HALF_LIFE_MS = 4000
+AVERAGE_HALF_LIFE_MS = 4000
 # Latency assumed of an endpoint that has answered nothing yet.
 PRIOR_LATENCY_MS = 80.0
 
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -18,8 +18,8 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.routing import RoutingTable, Split
 from saffronworks.forwarding.tuning import (
+    AVERAGE_HALF_LIFE_MS,
     BUDGET_USED_SHARE,
-    FORGET_HALF_LIFE_MS,
     MAX_REDIRECTS,
 )
 from saffronworks.tests.endpoint_plays import (
@@ -174,7 +174,7 @@
 def sound_first(context):
     ranked = context.loads.rank(context.three, 1200)
     assert ranked[0].instance == "e2", ranked
-    later_ms = 1200 + 8 * FORGET_HALF_LIFE_MS
+    later_ms = 1200 + 8 * AVERAGE_HALF_LIFE_MS
     context.loads.of("e2").outstanding = 1
     ranked = context.loads.rank(context.three, later_ms)
     assert ranked[-1].instance == "e2", ranked
