--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     CONNECT_TIMEOUT_MS,
-    MOST_IDLE,
+    MAX_IDLE_CONNECTIONS,
 )
 from saffronworks.web import parse_address
 
@@ -27,7 +27,7 @@
         self._id_field = id_field
         self._idle: dict[StartId, deque[EndpointConnection]] = {}
         self._busy: dict[StartId, set[EndpointConnection]] = {}
-        self.most_idle = MOST_IDLE
+        self.most_idle = MAX_IDLE_CONNECTIONS
 
     async def take(self, endpoint: ServiceEndpoint, own_call: bool = False) -> EndpointConnection:
         """An idle connection, else a new one; Break when none can be opened.
@@ -118,7 +118,7 @@
 
     def share_among(self, nodes: int, max_connections: int) -> None:
         """Keep so few idle connections that all nodes leave half of an endpoint's free."""
-        self.most_idle = max(1, min(MOST_IDLE, max_connections // (2 * max(1, nodes))))
+        self.most_idle = max(1, min(MAX_IDLE_CONNECTIONS, max_connections // (2 * max(1, nodes))))
 
     def close(self) -> None:
         """Close all idle connections."""
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -72,7 +72,7 @@
 # Unacknowledged bytes or probes for this long end a connection (TCP_USER_TIMEOUT).
 USER_TIMEOUT_MS = 1200
 # Idle connections kept to one endpoint.
-MOST_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 # An idle connection is used for this share of the time that the endpoint promises to keep it.
 KEEP_ALIVE_SHARE = 0.5
 # The time assumed where the endpoint promises none.
