--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -12,7 +12,7 @@
 from saffronworks.forwarding.tuning import (
     BUFFERS_LOOK_MS,
     ENDPOINT_READ_BYTES,
-    WHOLE_BODY_BYTES,
+    MAX_PREREAD_BODY_BYTES,
 )
 
 __all__ = ["AnswerBuffers", "TrackedBody"]
@@ -98,7 +98,7 @@
     @property
     def may_wait(self) -> bool:
         """Whether its endpoint may be held up: the answer needs no more bytes to begin."""
-        return self._body is not None or self.counted_bytes >= WHOLE_BODY_BYTES
+        return self._body is not None or self.counted_bytes >= MAX_PREREAD_BODY_BYTES
 
     @property
     def endpoint_waits(self) -> bool:
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -25,7 +25,7 @@
     tell_refusal,
 )
 from saffronworks.forwarding.stream_runs import StreamRun
-from saffronworks.forwarding.tuning import WHOLE_BODY_BYTES
+from saffronworks.forwarding.tuning import MAX_PREREAD_BODY_BYTES
 
 __all__ = ["run_plain"]
 
@@ -173,7 +173,7 @@
         self._head = await self._exchange.head(max(1, until_ms - node.now_ms()))
         self._first_ms = node.now_ms()
         self._start_of_body, self._body_whole = b"", False
-        while not job.route.streams and len(self._start_of_body) < WHOLE_BODY_BYTES:
+        while not job.route.streams and len(self._start_of_body) < MAX_PREREAD_BODY_BYTES:
             chunk = await self._exchange.next_chunk(max(1, until_ms - node.now_ms()))
             if chunk is None:
                 self._body_whole = True
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -79,7 +79,7 @@
 KEEP_ALIVE_DEFAULT_MS = 4000
 # A body up to this size is read whole before the caller gets its start, so that a break can
 # still be mended; a page of the users' sites has 800 bytes in the mean.
-WHOLE_BODY_BYTES = 65_536
+MAX_PREREAD_BODY_BYTES = 65_536
 # Bytes of an answer that wait for a slow caller before the endpoint is held up.
 MOST_BUFFERED_BYTES = 262_144
 # Part of the node's memory limit that all answers together may take up while they wait for callers.
