--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.tuning import (
     BOUND_LEFT_SHARE,
     BOUND_REACHED_SHARE,
-    BUFFERS_SHARE,
+    BUFFER_MEMORY_SHARE,
     UNREAD_LIMIT_MS,
 )
 
@@ -20,7 +20,7 @@
 
 def bound_of_memory(memory_bytes: int | None) -> int | None:
     """The bound for a node with this memory limit; None where none is known."""
-    return None if memory_bytes is None else int(BUFFERS_SHARE * memory_bytes)
+    return None if memory_bytes is None else int(BUFFER_MEMORY_SHARE * memory_bytes)
 
 
 @attrs.frozen
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -84,7 +84,7 @@
 MOST_BUFFERED_BYTES = 262_144
 # Part of the node's memory limit that all answers together may take up while they wait for callers.
 # A node needs 50 MB before its first request, and an answer is copied once on its way.
-BUFFERS_SHARE = 0.125
+BUFFER_MEMORY_SHARE = 0.125
 # An event loop reads so much of a connection at a time; it is left free below the bound.
 ENDPOINT_READ_BYTES = 262_144
 # Parts of that bound from which on answers wait, and below which none does any more.
