--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -10,7 +10,7 @@
 
 from saffronworks.forwarding.tuning import (
     BOUND_LEFT_SHARE,
-    BOUND_REACHED_SHARE,
+    BUFFER_HIGH_WATERMARK,
     BUFFER_MEMORY_SHARE,
     UNREAD_LIMIT_MS,
 )
@@ -64,7 +64,7 @@
     def decide(self, answers: Sequence[BufferedAnswer], now_ms: int) -> Decision:
         """What is to be done, from what is buffered now."""
         total_bytes = sum(answer.buffered_bytes for answer in answers)
-        share = BOUND_LEFT_SHARE if self.reached else BOUND_REACHED_SHARE
+        share = BOUND_LEFT_SHARE if self.reached else BUFFER_HIGH_WATERMARK
         self.reached = total_bytes >= share * self._usable_bytes
         paused = self._choose_paused(answers, total_bytes) if self.reached else frozenset()
         disconnected = tuple(a.key for a in answers if self._reads_nothing(a, now_ms))
@@ -73,7 +73,7 @@
     def next_look_bytes(self, total_bytes: int) -> float:
         """At which total the next decision is due: half of what is left may be used until then."""
         if not self.reached:
-            return BOUND_REACHED_SHARE * self._usable_bytes
+            return BUFFER_HIGH_WATERMARK * self._usable_bytes
         return total_bytes + max(0, self._usable_bytes - total_bytes) / 2
 
     def _choose_paused(self, answers: Sequence[BufferedAnswer], total_bytes: int) -> frozenset[int]:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -88,7 +88,7 @@
 # An event loop reads so much of a connection at a time; it is left free below the bound.
 ENDPOINT_READ_BYTES = 262_144
 # Parts of that bound from which on answers wait, and below which none does any more.
-BOUND_REACHED_SHARE = 0.75
+BUFFER_HIGH_WATERMARK = 0.75
 BOUND_LEFT_SHARE = 0.5
 # A caller that reads nothing for so long is disconnected where it holds up an endpoint, or memory
 # that others need. Endpoints cut an answer that is left unread for some seconds.
