--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -9,8 +9,8 @@
 import attrs
 
 from saffronworks.forwarding.tuning import (
-    BOUND_LEFT_SHARE,
     BUFFER_HIGH_WATERMARK,
+    BUFFER_LOW_WATERMARK,
     BUFFER_MEMORY_SHARE,
     UNREAD_LIMIT_MS,
 )
@@ -64,7 +64,7 @@
     def decide(self, answers: Sequence[BufferedAnswer], now_ms: int) -> Decision:
         """What is to be done, from what is buffered now."""
         total_bytes = sum(answer.buffered_bytes for answer in answers)
-        share = BOUND_LEFT_SHARE if self.reached else BUFFER_HIGH_WATERMARK
+        share = BUFFER_LOW_WATERMARK if self.reached else BUFFER_HIGH_WATERMARK
         self.reached = total_bytes >= share * self._usable_bytes
         paused = self._choose_paused(answers, total_bytes) if self.reached else frozenset()
         disconnected = tuple(a.key for a in answers if self._reads_nothing(a, now_ms))
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -89,7 +89,7 @@
 ENDPOINT_READ_BYTES = 262_144
 # Parts of that bound from which on answers wait, and below which none does any more.
 BUFFER_HIGH_WATERMARK = 0.75
-BOUND_LEFT_SHARE = 0.5
+BUFFER_LOW_WATERMARK = 0.5
 # A caller that reads nothing for so long is disconnected where it holds up an endpoint, or memory
 # that others need. Endpoints cut an answer that is left unread for some seconds.
 UNREAD_LIMIT_MS = 5000
