--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -12,7 +12,7 @@
     BUFFER_HIGH_WATERMARK,
     BUFFER_LOW_WATERMARK,
     BUFFER_MEMORY_SHARE,
-    UNREAD_LIMIT_MS,
+    UNREAD_TIMEOUT_MS,
 )
 
 __all__ = ["BufferBound", "BufferedAnswer", "Decision", "bound_of_memory"]
@@ -92,4 +92,4 @@
         """Whether a caller holds up an endpoint, or memory that others need, for too long."""
         if answer.unread_since_ms is None or not (answer.endpoint_waits or self.reached):
             return False
-        return now_ms - answer.unread_since_ms >= UNREAD_LIMIT_MS
+        return now_ms - answer.unread_since_ms >= UNREAD_TIMEOUT_MS
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -92,7 +92,7 @@
 BUFFER_LOW_WATERMARK = 0.5
 # A caller that reads nothing for so long is disconnected where it holds up an endpoint, or memory
 # that others need. Endpoints cut an answer that is left unread for some seconds.
-UNREAD_LIMIT_MS = 5000
+UNREAD_TIMEOUT_MS = 5000
 # The kernel's buffer for a caller's connection, twice this, on nodes with a bound. Left alone, the
 # kernel held 3.5 MB for each caller that read nothing (loopback). 256 KiB in 7 ms are 37 MB/s.
 CALLER_SEND_BUFFER_BYTES = 131_072
--- a/saffronworks/tests/features/steps/slow_readers_steps.py
+++ b/saffronworks/tests/features/steps/slow_readers_steps.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.forwarding.answer_buffers import BufferBound, BufferedAnswer, bound_of_memory
-from saffronworks.forwarding.tuning import UNREAD_LIMIT_MS
+from saffronworks.forwarding.tuning import UNREAD_TIMEOUT_MS
 from saffronworks.platform.settings import read_platform_settings
 from saffronworks.standins.sites import wait_until
 from saffronworks.tests.platform_fakes import settings_text
@@ -75,13 +75,13 @@
 @then("it is disconnected once it has left its endpoint waiting for the whole limit")
 def disconnected(context):
     waits = [BufferedAnswer(1, 300, 100, True), BufferedAnswer(2, 300, 101, True)]
-    assert not context.bound.decide(waits, 99 + UNREAD_LIMIT_MS).disconnected
-    assert context.bound.decide(waits, 100 + UNREAD_LIMIT_MS).disconnected == (1,)
+    assert not context.bound.decide(waits, 99 + UNREAD_TIMEOUT_MS).disconnected
+    assert context.bound.decide(waits, 100 + UNREAD_TIMEOUT_MS).disconnected == (1,)
 
 
 @then("while the bound is not reached one that holds up no endpoint stays")
 def stays(context):
-    late_ms = 2 * UNREAD_LIMIT_MS
+    late_ms = 2 * UNREAD_TIMEOUT_MS
     assert not context.bound.decide([BufferedAnswer(1, 300, 0)], late_ms).disconnected
     assert context.bound.decide([BufferedAnswer(1, 800, 0)], late_ms).disconnected == (1,)
 
