--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.figures import Figures, Level
 from saffronworks.forwarding.ports import AnswerBody, CallerReply, Exchange
 from saffronworks.forwarding.tuning import (
-    BUFFERS_LOOK_MS,
+    BUFFER_CHECK_INTERVAL_MS,
     ENDPOINT_READ_BYTES,
     MAX_PREREAD_BODY_BYTES,
 )
@@ -182,7 +182,7 @@
         """Look at callers from time to time, while one of them leaves something unread."""
         while True:
             await self._wanted.wait()
-            await anyio.sleep(BUFFERS_LOOK_MS / 1000)
+            await anyio.sleep(BUFFER_CHECK_INTERVAL_MS / 1000)
             self._decide()
 
     def _count(self, answer: TrackedBody) -> None:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -97,7 +97,7 @@
 # kernel held 3.5 MB for each caller that read nothing (loopback). 256 KiB in 7 ms are 37 MB/s.
 CALLER_SEND_BUFFER_BYTES = 131_072
 # Between two looks at what callers have taken, while an endpoint waits or a whole answer is unread.
-BUFFERS_LOOK_MS = 250
+BUFFER_CHECK_INTERVAL_MS = 250
 
 # --- Retries -----------------------------------------------------------------------------------
 
