--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding.runners import Job, NodeState, start_answer
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
-    STALL_PAUSES,
+    STALL_TIMEOUT_GAPS,
 )
 
 __all__ = ["StreamRelay"]
@@ -109,7 +109,7 @@
         state, now_ms = self._state, self._node.now_ms()
         left_ms = max(1, state.deadline_at_ms - now_ms)
         if self._may_go_on:
-            return min(left_ms, STALL_PAUSES * self._job.route.gap_target_ms)
+            return min(left_ms, STALL_TIMEOUT_GAPS * self._job.route.gap_target_ms)
         return left_ms
 
     def pace(self) -> StreamPace:
