--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -56,7 +56,7 @@
     HOLD_TTL_MS,
     MAX_REDIRECTS,
     PREFILL_TIMEOUT_MS,
-    RESUME_LEAST_LEFT_MS,
+    RESUME_MIN_LEFT_MS,
 )
 
 __all__ = ["step"]
@@ -328,7 +328,7 @@
 def _go_on(state: GenerationState, pools: Pools, now_ms: int, otherwise: _GiveUp) -> _Result:
     """After a run that failed: another run where that is allowed, else `otherwise`."""
     left_ms = state.deadline_at_ms - now_ms
-    if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_LEAST_LEFT_MS:
+    if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_MIN_LEFT_MS:
         return _start_over(state, pools, now_ms)
     return otherwise
 
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -16,7 +16,7 @@
     ANSWER_RESERVATION_FACTOR,
     CALLER_TIMEOUT_MIN_MS,
     FIRST_REFUSAL_TARGET_SHARE,
-    RESUME_LEAST_LEFT_MS,
+    RESUME_MIN_LEFT_MS,
     RETRY_WAIT_SHARE,
 )
 
@@ -119,7 +119,7 @@
     def gives_up_at_ms(self) -> float:
         """When waiting for memory has no more use, as the caller is about to leave."""
         if self.begun:
-            return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
+            return self.deadline_at_ms - RESUME_MIN_LEFT_MS
         gives_up_ms = min(self.gives_up_ms, self.deadline_at_ms - self.arrived_ms)
         return self.arrived_ms + RETRY_WAIT_SHARE * gives_up_ms
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -109,7 +109,7 @@
 # A resumable stream that is silent for this many of its longest good pauses goes on elsewhere.
 STALL_TIMEOUT_GAPS = 4
 # Time left below which no resumption is tried.
-RESUME_LEAST_LEFT_MS = 500
+RESUME_MIN_LEFT_MS = 500
 
 # --- Choice of nodes ---------------------------------------------------------------------------
 
