--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -115,7 +115,7 @@
 
 # A node plans only if it has this share of the cores of the strongest: VMs of a fleet differ by
 # four times, and in a burst a planner on a weak one took longer than the others wait.
-STRONG_SHARE = 0.75
+STRONG_NODE_CORE_SHARE = 0.75
 # A node that was silent is not asked for so long.
 NODE_AVOID_MS = 2000
 # Longer each time that it is silent again: a node that is gone stays in the census for good.
--- a/saffronworks/forwarding/turns.py
+++ b/saffronworks/forwarding/turns.py
@@ -5,7 +5,7 @@
 import attrs
 
 from saffronworks.forwarding.tuning import (
-    STRONG_SHARE,
+    STRONG_NODE_CORE_SHARE,
 )
 from saffronworks.hashing import rank_members
 
@@ -15,7 +15,7 @@
 def strong_nodes(cores: dict[str, float]) -> list[str]:
     """The nodes that have about as many processor cores as the strongest of these."""
     most = max(cores.values(), default=0.0)
-    return [node for node, has in cores.items() if has >= STRONG_SHARE * most]
+    return [node for node, has in cores.items() if has >= STRONG_NODE_CORE_SHARE * most]
 
 
 @attrs.define
