--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -6,7 +6,7 @@
 
 from saffronworks.forwarding.tuning import (
     MOST_RANKS_KEPT,
-    NODE_AVOID_MOST_MS,
+    NODE_AVOID_MAX_MS,
     NODE_AVOID_MS,
     YOUNG_AVOID_MS,
 )
@@ -82,7 +82,7 @@
         if known is not None and now_ms < known.until_ms:
             return known.until_ms - now_ms
         doubled_ms = 2 * known.span_ms if known else NODE_AVOID_MS
-        span_ms = min(doubled_ms, NODE_AVOID_MOST_MS)
+        span_ms = min(doubled_ms, NODE_AVOID_MAX_MS)
         self._avoided[node] = _Avoided(now_ms + span_ms, span_ms)
         return span_ms
 
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -119,7 +119,7 @@
 # A node that was silent is not asked for so long.
 NODE_AVOID_MS = 2000
 # Longer each time that it is silent again: a node that is gone stays in the census for good.
-NODE_AVOID_MOST_MS = 16_000
+NODE_AVOID_MAX_MS = 16_000
 # After a start a node passes a silent planner over for a moment only: where all have started
 # together, the planner is up within a few tenths of a second.
 YOUNG_MS = 1500
--- a/saffronworks/tests/features/steps/planner_choice_steps.py
+++ b/saffronworks/tests/features/steps/planner_choice_steps.py
@@ -4,7 +4,7 @@
 
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.tuning import (
-    NODE_AVOID_MOST_MS,
+    NODE_AVOID_MAX_MS,
     NODE_AVOID_MS,
 )
 
@@ -42,7 +42,7 @@
         spans.append(choice.avoid(context.first, now_ms))
         now_ms += spans[-1]
     assert spans == sorted(spans) and spans[0] == 2 * NODE_AVOID_MS
-    assert spans[-1] == NODE_AVOID_MOST_MS
+    assert spans[-1] == NODE_AVOID_MAX_MS
     choice.hear(context.first)
     assert choice.avoid(context.first, now_ms) == NODE_AVOID_MS
 
