--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -27,7 +27,7 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    YOUNG_MS,
+    STARTUP_MS,
 )
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
@@ -81,7 +81,7 @@
     name = "memory-client"
 
     def __init__(self, own_address: str, now_ms: int):
-        self.choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS)
+        self.choice = NodeChoice(young_until_ms=now_ms + STARTUP_MS)
         self.own_address = own_address
         self._kernel: Kernel | None = None
         self._answers: dict[str, list[_Answer]] = {}
--- a/saffronworks/forwarding/shares/bound.py
+++ b/saffronworks/forwarding/shares/bound.py
@@ -15,7 +15,7 @@
 from saffronworks.forwarding.shares.holder import HolderState, ShareChanged
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
-from saffronworks.forwarding.tuning import YOUNG_MS
+from saffronworks.forwarding.tuning import STARTUP_MS
 
 __all__ = ["SharedBound", "Told"]
 
@@ -48,7 +48,7 @@
         self._limit_of = limit_of
         self._tell = tell
         self._note_change = note_change
-        choice = NodeChoice(young_until_ms=now_ms() + YOUNG_MS)
+        choice = NodeChoice(young_until_ms=now_ms() + STARTUP_MS)
         # A holder's work is small, so all nodes share it: few subjects lose all three at once.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
         self.held = HolderState(tolerance, now_ms(), in_turn)
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -20,8 +20,8 @@
 from saffronworks.forwarding.routing import EngineSpec, RoutingTable, Service
 from saffronworks.forwarding.tuning import (
     NODE_AVOID_MS,
+    STARTUP_MS,
     YOUNG_AVOID_MS,
-    YOUNG_MS,
 )
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
@@ -41,7 +41,7 @@
     planner: MemoryPlanner
 
 
-def make_member(tasks, age_ms=YOUNG_MS):
+def make_member(tasks, age_ms=STARTUP_MS):
     address, directory = free_address(), Directory()
     decoder = ServiceEndpoint("d0", "s", "127.0.0.1:1", "z", role=Role.DECODE)
     readers = [
@@ -121,12 +121,12 @@
 
 @then("a node that has just started passes a silent planner over for a moment only")
 def moment_only(context):
-    choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=YOUNG_MS)
+    choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=STARTUP_MS)
     first = choice.choose("s", 0)
     assert choice.avoid(first, 0) == YOUNG_AVOID_MS
     assert choice.choose("s", YOUNG_AVOID_MS - 1) != first
     assert choice.choose("s", YOUNG_AVOID_MS) == first
-    assert choice.avoid(first, YOUNG_MS) == NODE_AVOID_MS
+    assert choice.avoid(first, STARTUP_MS) == NODE_AVOID_MS
 
 
 @given("two nodes of which one plans")
--- a/saffronworks/tests/virtual_fleet.py
+++ b/saffronworks/tests/virtual_fleet.py
@@ -26,7 +26,7 @@
 from saffronworks.forwarding.shares.holder import HolderState
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_SILENT_MS
-from saffronworks.forwarding.tuning import YOUNG_MS
+from saffronworks.forwarding.tuning import STARTUP_MS
 
 __all__ = ["STRIKES", "FleetShares", "VirtualFleet"]
 
@@ -62,7 +62,7 @@
 
     def _start(self, young):
         now_ms = self._fleet.now_ms
-        choice = NodeChoice(young_until_ms=now_ms + YOUNG_MS if young else 0)
+        choice = NodeChoice(young_until_ms=now_ms + STARTUP_MS if young else 0)
         choice.cores = self._fleet.cores
         # At the first start of all nothing ran before.
         began_ms = now_ms if young else -self._tolerance.window_ms
