--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -8,7 +8,7 @@
     MOST_RANKS_KEPT,
     NODE_AVOID_MAX_MS,
     NODE_AVOID_MS,
-    YOUNG_AVOID_MS,
+    STARTUP_NODE_AVOID_MS,
 )
 from saffronworks.forwarding.turns import strong_nodes
 from saffronworks.hashing import rank_members
@@ -76,8 +76,8 @@
         Asks that were sent before it was passed over count as one.
         """
         if self.young(now_ms):
-            self._avoided[node] = _Avoided(now_ms + YOUNG_AVOID_MS, NODE_AVOID_MS // 2)
-            return YOUNG_AVOID_MS
+            self._avoided[node] = _Avoided(now_ms + STARTUP_NODE_AVOID_MS, NODE_AVOID_MS // 2)
+            return STARTUP_NODE_AVOID_MS
         known = self._avoided.get(node)
         if known is not None and now_ms < known.until_ms:
             return known.until_ms - now_ms
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -123,7 +123,7 @@
 # After a start a node passes a silent planner over for a moment only: where all have started
 # together, the planner is up within a few tenths of a second.
 STARTUP_MS = 1500
-YOUNG_AVOID_MS = 150
+STARTUP_NODE_AVOID_MS = 150
 # Services whose first nodes are kept, 0.3 KB each, by who is passed over at the time.
 MOST_RANKS_KEPT = 2048
 
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.tuning import (
     NODE_AVOID_MS,
     STARTUP_MS,
-    YOUNG_AVOID_MS,
+    STARTUP_NODE_AVOID_MS,
 )
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
@@ -123,9 +123,9 @@
 def moment_only(context):
     choice = NodeChoice({"a": 1.0, "b": 1.0}, young_until_ms=STARTUP_MS)
     first = choice.choose("s", 0)
-    assert choice.avoid(first, 0) == YOUNG_AVOID_MS
-    assert choice.choose("s", YOUNG_AVOID_MS - 1) != first
-    assert choice.choose("s", YOUNG_AVOID_MS) == first
+    assert choice.avoid(first, 0) == STARTUP_NODE_AVOID_MS
+    assert choice.choose("s", STARTUP_NODE_AVOID_MS - 1) != first
+    assert choice.choose("s", STARTUP_NODE_AVOID_MS) == first
     assert choice.avoid(first, STARTUP_MS) == NODE_AVOID_MS
 
 
