--- a/saffronworks/forwarding/choices.py
+++ b/saffronworks/forwarding/choices.py
@@ -5,7 +5,7 @@
 import attrs
 
 from saffronworks.forwarding.tuning import (
-    MOST_RANKS_KEPT,
+    MAX_CACHED_RANKINGS,
     NODE_AVOID_MAX_MS,
     NODE_AVOID_MS,
     STARTUP_NODE_AVOID_MS,
@@ -94,7 +94,7 @@
         """The first two, by hash; kept, as it takes 0.1 ms at 60 nodes."""
         key = (matter, avoided)
         if key not in self._ranks:
-            if len(self._ranks) >= MOST_RANKS_KEPT:
+            if len(self._ranks) >= MAX_CACHED_RANKINGS:
                 self._ranks.clear()
             left = {name: has for name, has in self.cores.items() if name not in avoided}
             self._ranks[key] = rank_members(strong_nodes(left), matter, LISTENERS)
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -125,7 +125,7 @@
 STARTUP_MS = 1500
 STARTUP_NODE_AVOID_MS = 150
 # Services whose first nodes are kept, 0.3 KB each, by who is passed over at the time.
-MOST_RANKS_KEPT = 2048
+MAX_CACHED_RANKINGS = 2048
 
 # --- Following the store -----------------------------------------------------------------------
 
