--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -133,7 +133,7 @@
 # must end before a node is expected to know what changed. Each call has its price: a node that
 # waited for 2 s and looked again after every change made 1.5 calls a second on calm days and 2.5 on
 # others, 0.06 of what the days are worth.
-WATCH_WAIT_MOST_MS = 5000
+WATCH_WAIT_MAX_MS = 5000
 # Left of that time for the answer, which is waited for 0.8 s, a new listing and a busy processor.
 WATCH_MARGIN_MS = 1500
 # After a change, further ones are taken together: they come in swarms at a start and a release.
--- a/saffronworks/platform/settings.py
+++ b/saffronworks/platform/settings.py
@@ -6,7 +6,7 @@
 from saffronworks.forwarding.shares.bounds import Tolerance
 from saffronworks.forwarding.tuning import (
     WATCH_MARGIN_MS,
-    WATCH_WAIT_MOST_MS,
+    WATCH_WAIT_MAX_MS,
 )
 from saffronworks.readers import Finding, Section, read_yaml, sort_findings
 
@@ -82,7 +82,7 @@
         retry_window_ms=int(bounds.number("budget_window_s") * 1000),
         lease_ms=bounds.integer("lease_ms", 3000, least=1),
         thaw_slack_ms=bounds.integer("thaw_slack_ms", 300),
-        watch_wait_ms=max(WATCH_LEAST_MS, min(WATCH_WAIT_MOST_MS, known_ms - WATCH_MARGIN_MS)),
+        watch_wait_ms=max(WATCH_LEAST_MS, min(WATCH_WAIT_MAX_MS, known_ms - WATCH_MARGIN_MS)),
         known_within_ms=known_ms,
         follow_within_ms=_follow_within_ms(bounds),
         drain_ms=_drain_ms(bounds),
