--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -17,7 +17,7 @@
     LAPSE_AFTER_MS,
     LAPSE_MARGIN_MS,
     LAPSED_GRACE_MS,
-    WATCH_PAUSE_MS,
+    WATCH_COALESCE_MS,
 )
 
 __all__ = ["Follower", "ObjectSink"]
@@ -230,7 +230,7 @@
         self._revision = heard.revision
         self._publish(heard, since=revision)
         if heard.objects:
-            await anyio.sleep(WATCH_PAUSE_MS / 1000)
+            await anyio.sleep(WATCH_COALESCE_MS / 1000)
 
     def _end_watch(self) -> None:
         """The store was restored: a watch that waits there may never end."""
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -137,7 +137,7 @@
 # Left of that time for the answer, which is waited for 0.8 s, a new listing and a busy processor.
 WATCH_MARGIN_MS = 1500
 # After a change, further ones are taken together: they come in swarms at a start and a release.
-WATCH_PAUSE_MS = 250
+WATCH_COALESCE_MS = 250
 FOLLOW_FIRST_BACKOFF_MS = 40
 FOLLOW_LONGEST_BACKOFF_MS = 600
 # Between two calls to a store that is at fault, at most: it is back for a node that soon. A node
