--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -12,7 +12,7 @@
 from saffronworks.forwarding.store_news import NewsFeed, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
 from saffronworks.forwarding.tuning import (
-    FOLLOW_FIRST_BACKOFF_MS,
+    FOLLOW_BACKOFF_MIN_MS,
     FOLLOW_LONGEST_BACKOFF_MS,
     LAPSE_AFTER_MS,
     LAPSE_MARGIN_MS,
@@ -276,6 +276,6 @@
         self._answered_ms = self._known_ms = now_ms
 
     def _backoff_ms(self, troubles: int) -> int:
-        doubled = FOLLOW_FIRST_BACKOFF_MS * 2 ** min(troubles - 1, 8)
+        doubled = FOLLOW_BACKOFF_MIN_MS * 2 ** min(troubles - 1, 8)
         longest_ms = min(FOLLOW_LONGEST_BACKOFF_MS, doubled)
         return self._rng.randint(longest_ms // 2, longest_ms)
