--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -12,8 +12,8 @@
 from saffronworks.forwarding.store_news import NewsFeed, StoreNews
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
 from saffronworks.forwarding.tuning import (
+    FOLLOW_BACKOFF_MAX_MS,
     FOLLOW_BACKOFF_MIN_MS,
-    FOLLOW_LONGEST_BACKOFF_MS,
     LAPSE_AFTER_MS,
     LAPSE_MARGIN_MS,
     LAPSED_GRACE_MS,
@@ -277,5 +277,5 @@
 
     def _backoff_ms(self, troubles: int) -> int:
         doubled = FOLLOW_BACKOFF_MIN_MS * 2 ** min(troubles - 1, 8)
-        longest_ms = min(FOLLOW_LONGEST_BACKOFF_MS, doubled)
+        longest_ms = min(FOLLOW_BACKOFF_MAX_MS, doubled)
         return self._rng.randint(longest_ms // 2, longest_ms)
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -139,7 +139,7 @@
 # After a change, further ones are taken together: they come in swarms at a start and a release.
 WATCH_COALESCE_MS = 250
 FOLLOW_BACKOFF_MIN_MS = 40
-FOLLOW_LONGEST_BACKOFF_MS = 600
+FOLLOW_BACKOFF_MAX_MS = 600
 # Between two calls to a store that is at fault, at most: it is back for a node that soon. A node
 # that others tell of the store waits longer, and a third of the time in which it has to know.
 PROBE_PAUSE_MS = 600
