--- a/saffronworks/tests/features/steps/store_circuit_steps.py
+++ b/saffronworks/tests/features/steps/store_circuit_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding.ports import Listing, SourceFailure
 from saffronworks.forwarding.store_circuit import GuardedSource, StoreCircuit
 from saffronworks.forwarding.tuning import (
-    PROBE_PAUSE_MS,
+    PROBE_INTERVAL_MS,
     TOLD_PROBE_PAUSE_MS,
 )
 from saffronworks.tests.revisions import at
@@ -22,7 +22,7 @@
 
 @given("five callers that ask again half a second after each failure")
 def five_callers(context):
-    context.pause_ms = PROBE_PAUSE_MS
+    context.pause_ms = PROBE_INTERVAL_MS
 
 
 @given("five callers at a node that others tell of the store")
