--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -12,7 +12,7 @@
 
 from saffronworks.forwarding.ports import Conflict, ObjectSource, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch, StoreRevision
-from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
+from saffronworks.forwarding.tuning import RESTORE_JITTER_MS
 from saffronworks.web import is_address
 
 __all__ = ["NODE_KIND", "Census", "CountedNode"]
@@ -118,7 +118,7 @@
         while True:
             await self._restored.wait()
             self._restored = anyio.Event()
-            await anyio.sleep(RESTORED_SPREAD_MS / 1000 * self._rng.random())
+            await anyio.sleep(RESTORE_JITTER_MS / 1000 * self._rng.random())
             if not self._leaving:
                 await self._enter_until_done()
             await anyio.sleep(RESTORED_COUNT_S)
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -25,7 +25,7 @@
     TELL_EVERY_MS,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
+from saffronworks.forwarding.tuning import RESTORE_JITTER_MS
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
@@ -206,7 +206,7 @@
             self._start(self._record_again)
 
     async def _record_again(self) -> None:
-        await anyio.sleep(RESTORED_SPREAD_MS / 1000 * self._state.rng.random())
+        await anyio.sleep(RESTORE_JITTER_MS / 1000 * self._state.rng.random())
         self._take(events.RecordsLost())
 
     async def _tick(self) -> None:
--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -151,4 +151,4 @@
 # An outage shorter than this lets no entry lapse: that takes three heartbeats of about 1.2 s.
 LAPSE_AFTER_MS = 2000
 # After a restore of the store nodes write again within this time, not all at once.
-RESTORED_SPREAD_MS = 2000
+RESTORE_JITTER_MS = 2000
