--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -15,7 +15,7 @@
 from saffronworks.forwarding.tuning import RESTORE_JITTER_MS
 from saffronworks.web import is_address
 
-__all__ = ["NODE_KIND", "Census", "CountedNode"]
+__all__ = ["NODE_KIND", "Census", "NodeInfo"]
 
 
 logger = logging.getLogger(__name__)
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class CountedNode:
+class NodeInfo:
     """A node as others know it; `zone` is empty where an earlier version entered it."""
 
     cores: float
@@ -73,7 +73,7 @@
         rng: random.Random,
         epoch: StoreEpoch,
         now_ms: Callable[[], int],
-        take: Callable[[dict[str, CountedNode]], None],
+        take: Callable[[dict[str, NodeInfo]], None],
     ):
         epoch.subscribe(self._note_restore)
         self._node = node
@@ -81,7 +81,7 @@
         self._store = store
         self._rng = rng
         self._take = take
-        self._known: dict[str, CountedNode] = {}
+        self._known: dict[str, NodeInfo] = {}
         self._told: dict[str, StoreRevision] = {}
         self._now_ms = now_ms
         self._restored = anyio.Event()
@@ -159,9 +159,7 @@
             return
         read = [self._read(item) for item in listing.ok_value.objects]
         listed = {
-            entry.address: CountedNode(entry.cores, entry.zone)
-            for entry in read
-            if entry is not None
+            entry.address: NodeInfo(entry.cores, entry.zone) for entry in read if entry is not None
         }
         kept = self._known if self._now_ms() < self._keep_missing_until_ms else {}
         nodes = kept | listed
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -13,7 +13,7 @@
 from saffronworks.forwarding import store_news
 from saffronworks.forwarding.answer_buffers import bound_of_memory
 from saffronworks.forwarding.buffered_answers import AnswerBuffers
-from saffronworks.forwarding.census import Census, CountedNode
+from saffronworks.forwarding.census import Census, NodeInfo
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits import messages as limit_messages
@@ -319,7 +319,7 @@
             await self._run_once(service)
             await anyio.sleep(SERVICE_PAUSE_MS / 1000)
 
-    def _take_census(self, nodes: dict[str, CountedNode]) -> None:
+    def _take_census(self, nodes: dict[str, NodeInfo]) -> None:
         cores = {address: node.cores for address, node in nodes.items()}
         zone = self.settings.zone
         self._news.update_zone({a: node.cores for a, node in nodes.items() if node.zone == zone})
--- a/saffronworks/tests/features/steps/bad_entries_steps.py
+++ b/saffronworks/tests/features/steps/bad_entries_steps.py
@@ -10,7 +10,7 @@
 from behave import then, when
 from result import Ok
 
-from saffronworks.forwarding.census import Census, CountedNode
+from saffronworks.forwarding.census import Census, NodeInfo
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch
@@ -203,6 +203,6 @@
 
     with LogLines("saffronworks.forwarding.census") as lines:
         anyio.run(main)
-    assert counted == [{"10.0.0.1:1": CountedNode(2.0)}], counted
+    assert counted == [{"10.0.0.1:1": NodeInfo(2.0)}], counted
     told = [line for line in lines if "census_entry_unreadable" in line]
     assert len(told) == len(contents) - 1, told
