--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -30,7 +30,7 @@
 # counts again after each of these, first by a listing that is exact, then by ones that may be
 # seconds old and cost a tenth. Nodes that are counted early hear of the store from others while
 # endpoints enter themselves, in place of a call for each change.
-EXACT_COUNT_S = 0.7
+CONSISTENT_LISTING_S = 0.7
 NEXT_COUNTS_S = (3.0, 4.0)
 ENTER_AGAIN_S = 1.0
 # After a restore of the store each node counts again once all have entered, and keeps counting
@@ -97,7 +97,7 @@
     async def _count_again(self) -> None:
         await self._enter_until_done()
         await self._count()
-        await anyio.sleep(EXACT_COUNT_S)
+        await anyio.sleep(CONSISTENT_LISTING_S)
         await self._count(stale=False)
         for pause_s in NEXT_COUNTS_S:
             await anyio.sleep(pause_s)
--- a/saffronworks/tests/features/steps/census_steps.py
+++ b/saffronworks/tests/features/steps/census_steps.py
@@ -9,7 +9,7 @@
 from result import Ok
 
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.census import EXACT_COUNT_S, Census, NodeInfo
+from saffronworks.forwarding.census import CONSISTENT_LISTING_S, Census, NodeInfo
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.tests.revisions import at
@@ -50,7 +50,7 @@
 
 @then("it knows all of them at once, not only at the second count")
 def knows_at_once(context):
-    assert EXACT_COUNT_S > CENSUS_S
+    assert CONSISTENT_LISTING_S > CENSUS_S
     assert context.counted == [{"10.0.0.1:1": NodeInfo(2.0), "10.0.0.2:1": NodeInfo(1.0)}], (
         context.counted
     )
