--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -96,15 +96,15 @@
 
     async def _count_again(self) -> None:
         await self._enter_until_done()
-        await self._count()
+        await self._list_nodes()
         await anyio.sleep(CONSISTENT_LISTING_S)
-        await self._count(stale=False)
+        await self._list_nodes(stale=False)
         for pause_s in NEXT_COUNTS_S:
             await anyio.sleep(pause_s)
-            await self._count()
+            await self._list_nodes()
         while True:
             await anyio.sleep(COUNT_EVERY_S * (0.5 + self._rng.random()))
-            await self._count()
+            await self._list_nodes()
 
     async def _enter_until_done(self) -> None:
         while not await self._enter():
@@ -122,7 +122,7 @@
             if not self._leaving:
                 await self._enter_until_done()
             await anyio.sleep(RESTORED_COUNT_S)
-            await self._count()
+            await self._list_nodes()
 
     async def leave(self) -> None:
         """Remove the entry at a planned stop."""
@@ -152,7 +152,7 @@
             logger.info("event=census_failed problem=%s", reply.err_value)
         return isinstance(reply, Ok)
 
-    async def _count(self, stale: bool = True) -> None:
+    async def _list_nodes(self, stale: bool = True) -> None:
         listing = await self._store.list_objects(NODE_KIND, stale)
         if isinstance(listing, Err):
             logger.info("event=census_failed problem=%s", listing.err_value)
--- a/saffronworks/tests/features/steps/bad_entries_steps.py
+++ b/saffronworks/tests/features/steps/bad_entries_steps.py
@@ -198,8 +198,8 @@
             lambda: 0,
             counted.append,
         )
-        await census._count()
-        await census._count()
+        await census._list_nodes()
+        await census._list_nodes()
 
     with LogLines("saffronworks.forwarding.census") as lines:
         anyio.run(main)
