--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -104,7 +104,7 @@
 
     def _follows_peers(self) -> bool:
         """Whether publishers of the zone watch the store, and one has published recently."""
-        if self._news is None or not self._news.shared or self._news.publishes(self.kind):
+        if self._news is None or not self._news.shared or self._news.is_publisher(self.kind):
             return False
         return not self._lists_next and self._now_ms() < self._fresh_until_ms
 
--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -152,7 +152,7 @@
         """Whether the zone is large enough for publishers."""
         return len(self._nodes) >= MIN_SHARED_NODES
 
-    def publishes(self, kind: str) -> bool:
+    def is_publisher(self, kind: str) -> bool:
         """Whether this node is a publisher now: it ranks first, or those before it are silent."""
         if not self.shared:
             return False
@@ -164,7 +164,7 @@
 
     def follows_peers(self) -> bool:
         """Whether other nodes of the zone watch the store for this one."""
-        return self.shared and not any(self.publishes(kind) for kind in self._subscribers)
+        return self.shared and not any(self.is_publisher(kind) for kind in self._subscribers)
 
     def publish(
         self, kind: str, heard: Listing, since: StoreRevision | None, lapse_ms: int, took_ms: int
@@ -173,7 +173,7 @@
 
         `since` is None for a whole listing.
         """
-        publishing = self.publishes(kind) and self._kernel is not None
+        publishing = self.is_publisher(kind) and self._kernel is not None
         if publishing is not self._publishing.get(kind, False):
             self._publishing[kind] = publishing
             logger.info("event=store_publisher kind=%s publishing=%s", kind, publishing)
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -36,7 +36,7 @@
 @then("in a zone of forty nodes two ask, and all know a change at once")
 def two_ask(context):
     async def play(store, nodes):
-        assert sum(node.publishes() for node in nodes) == PUBLISHERS
+        assert sum(node.is_publisher() for node in nodes) == PUBLISHERS
         await anyio.sleep(1.0)
         before = store.calls
         for turn in range(3):
@@ -52,7 +52,7 @@
 @then("in a zone of eight each asks by itself, as often as it did")
 def eight_ask(context):
     async def play(store, nodes):
-        assert not any(node.publishes() for node in nodes)
+        assert not any(node.is_publisher() for node in nodes)
         store.change("e1", b"1")
         await know(nodes, "e1", b"1", within_ms=200)
         before = store.calls
@@ -64,7 +64,7 @@
 
 async def fall_silent(store, nodes, how):
     """Both tellers fail; a change comes at once."""
-    first = [node for node in nodes if node.publishes()]
+    first = [node for node in nodes if node.is_publisher()]
     others = [node for node in nodes if node not in first]
     await anyio.sleep(0.5)
     for node in first:
@@ -72,7 +72,7 @@
     store.change("e1", b"1")
     await know(others, "e1", b"1")
     await anyio.sleep(1.5)
-    assert 1 <= sum(node.publishes() for node in others) <= PUBLISHERS
+    assert 1 <= sum(node.is_publisher() for node in others) <= PUBLISHERS
     before = store.calls
     store.change("e1", b"2")
     await know(others, "e1", b"2", within_ms=400)
@@ -104,7 +104,7 @@
         for node in first:
             node.cut = False
         await anyio.sleep(6.0)
-        assert not any(node.publishes() for node in others)
+        assert not any(node.is_publisher() for node in others)
         store.change("e1", b"3")
         await know(nodes, "e1", b"3", within_ms=400)
 
@@ -123,7 +123,7 @@
 @then("old news change nothing, and news with a gap make a node ask")
 def old_news(context):
     async def play(store, nodes):
-        node = next(node for node in nodes if not node.publishes())
+        node = next(node for node in nodes if not node.is_publisher())
         for turn in range(5):
             store.change("e1", b"%d" % turn)
         await know([node], "e1", b"4", within_ms=400)
@@ -142,7 +142,7 @@
 @then("a node that missed news asks the store once, and knows all")
 def missed_news(context):
     async def play(store, nodes):
-        node = next(node for node in nodes if not node.publishes())
+        node = next(node for node in nodes if not node.is_publisher())
         node.dead = True
         store.change("e1", b"1")
         await anyio.sleep(0.3)
@@ -184,7 +184,7 @@
 @then("it goes by what others tell it")
 def cut_node(context):
     async def play(store, nodes):
-        node = next(node for node in nodes if not node.publishes())
+        node = next(node for node in nodes if not node.is_publisher())
         node.cut = True
         store.change("e1", b"1")
         await know(nodes, "e1", b"1", within_ms=400)
@@ -198,7 +198,7 @@
 @then("one that tells the others, and loses its watch, goes by what the other one tells")
 def cut_teller(context):
     async def play(store, nodes):
-        node = next(node for node in nodes if node.publishes())
+        node = next(node for node in nodes if node.is_publisher())
         node.cut = True
         await anyio.sleep(0.6)
         store.change("e1", b"1")
@@ -241,11 +241,11 @@
     now_ms = 10 * FOLLOW_WITHIN_MS
     for feed in feeds:
         feed.update_zone(cores)
-    assert sum(feed.publishes(KIND) for feed in feeds) == PUBLISHERS
+    assert sum(feed.is_publisher(KIND) for feed in feeds) == PUBLISHERS
     now_ms += FOLLOW_WITHIN_MS
-    assert sum(feed.publishes(KIND) for feed in feeds) < 2 * PUBLISHERS
+    assert sum(feed.is_publisher(KIND) for feed in feeds) < 2 * PUBLISHERS
     now_ms += NEXT_PUBLISHERS_MS
-    assert sum(feed.publishes(KIND) for feed in feeds) <= 3 * PUBLISHERS
+    assert sum(feed.is_publisher(KIND) for feed in feeds) <= 3 * PUBLISHERS
 
 
 async def restore_after(store, writes):
@@ -284,7 +284,7 @@
         await restore_after(store, writes=5)
         store.change("e1", b"restored")
         await know(nodes, "e1", b"restored")
-        node = next(node for node in nodes if not node.publishes())
+        node = next(node for node in nodes if not node.is_publisher())
         known = dict(node.known)
         for epoch in (0, 1):
             node.follower.handle_news(news(node, 0, 99, whole=True, epoch=epoch))
--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -127,8 +127,8 @@
             self.known[item.name] = item.content
         self.revisions.append(changes.revision)
 
-    def publishes(self):
-        return self.feed.publishes(KIND)
+    def is_publisher(self):
+        return self.feed.is_publisher(KIND)
 
 
 def play_zone(count, play):
