--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -16,10 +16,10 @@
     OTHER_NODE_RETRY_AFTER_MS,
 )
 
-__all__ = ["KEY_TAKEN_AWAY", "Identities"]
+__all__ = ["KEY_REVOKED", "Identities"]
 
 # A key that no longer holds while its request waits, is read, or is about to be sent again.
-KEY_TAKEN_AWAY = Refuse(401, "unknown-key", not_run=False)
+KEY_REVOKED = Refuse(401, "unknown-key", not_run=False)
 
 
 @attrs.define
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
 from saffronworks.forwarding.figures import Figures
-from saffronworks.forwarding.identity import KEY_TAKEN_AWAY, Identities
+from saffronworks.forwarding.identity import KEY_REVOKED, Identities
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import ENDS_ENDPOINTS, AnswerHead, CallerRequest, Refuse
 from saffronworks.forwarding.planning.client import MemoryClient
@@ -72,7 +72,7 @@
     def barred(self, job: "Job", trial_began: bool = False) -> Refuse | None:
         """Why a request under way is to be sent to no endpoint any more; None while it may be."""
         if not self.identities.holds(job.request, job.route):
-            return KEY_TAKEN_AWAY
+            return KEY_REVOKED
         if not trial_began and self.quarantine.blocks(job.request, job.on_trial):
             return ENDS_ENDPOINTS
         return None
