--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -71,7 +71,7 @@
             await reply.refuse(404, "no-route")
             return
         service = route.choose_service(request.request_id)
-        whose = self._node.identities.identify(request, route)
+        whose = self._node.identities.authenticate(request, route)
         if isinstance(whose, Refuse):
             job = Job(request, route, service, reply, table.version)
             await tell_refusal(self._node, job, whose)
--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -34,7 +34,7 @@
     in_touch: Callable[[], bool]
     organisations: Organisations | None = None
 
-    def identify(self, request: CallerRequest, route: Route) -> Organisation | Refuse | None:
+    def authenticate(self, request: CallerRequest, route: Route) -> Organisation | Refuse | None:
         """The organisation of a request; None where it needs none and names none."""
         if self.organisations is None:
             return None
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -25,12 +25,12 @@
     whose = Organisation("huka270")
     for in_touch, told in ((True, 401), (False, 503)):
         identities = Identities(lambda told=in_touch: told, {known: whose})
-        assert identities.identify(request_with(known), route()) == whose
-        refusal = identities.identify(request_with(unknown), route())
+        assert identities.authenticate(request_with(known), route()) == whose
+        refusal = identities.authenticate(request_with(unknown), route())
         assert isinstance(refusal, Refuse) and refusal.status == told, refusal
         assert refusal.not_run is not in_touch
         # What can be no key at all is none in any version.
-        assert identities.identify(request_with(None), route()).status == 401
+        assert identities.authenticate(request_with(None), route()).status == 401
 
 
 @then("all findings of a configuration's organisations are listed, without a key")
