--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -16,14 +16,14 @@
     OTHER_NODE_RETRY_AFTER_MS,
 )
 
-__all__ = ["KEY_REVOKED", "Identities"]
+__all__ = ["KEY_REVOKED", "Authenticator"]
 
 # A key that no longer holds while its request waits, is read, or is about to be sent again.
 KEY_REVOKED = Refuse(401, "unknown-key", not_run=False)
 
 
 @attrs.define
-class Identities:
+class Authenticator:
     """The keys that are in force; None where callers need none.
 
     `in_touch` tells whether the newest configuration is known here as soon as it has to be. A node
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -11,7 +11,7 @@
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
 from saffronworks.forwarding.figures import Figures
-from saffronworks.forwarding.identity import KEY_REVOKED, Identities
+from saffronworks.forwarding.identity import KEY_REVOKED, Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import ENDS_ENDPOINTS, AnswerHead, CallerRequest, Refuse
 from saffronworks.forwarding.planning.client import MemoryClient
@@ -59,7 +59,7 @@
     spawn: Callable[..., None]
     memory: MemoryClient
     quarantine: Quarantine
-    identities: Identities
+    identities: Authenticator
     quotas: Quotas
     limits: EndpointLimits
     eligibility: EndpointEligibility
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -21,7 +21,7 @@
 from saffronworks.forwarding.figures import Figures
 from saffronworks.forwarding.followers import Follower
 from saffronworks.forwarding.forwarder import Forwarder
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.planning import messages as planning_messages
 from saffronworks.forwarding.planning.client import MemoryClient
@@ -169,7 +169,7 @@
             spawn=self._spawn,
             memory=self._memory,
             quarantine=self._quarantine,
-            identities=Identities(self._in_touch),
+            identities=Authenticator(self._in_touch),
             quotas=self._quotas,
             limits=self._limits,
             eligibility=self._eligibility,
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -3,7 +3,7 @@
 import msgspec
 from behave import then
 
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.messages import CallerRequest, Refuse
 from saffronworks.forwarding.organisations import Organisation, read_key
 from saffronworks.platform.configuration import read_configuration
@@ -24,7 +24,7 @@
     known, unknown = read_key([KEY]), read_key([OTHER_KEY])
     whose = Organisation("huka270")
     for in_touch, told in ((True, 401), (False, 503)):
-        identities = Identities(lambda told=in_touch: told, {known: whose})
+        identities = Authenticator(lambda told=in_touch: told, {known: whose})
         assert identities.authenticate(request_with(known), route()) == whose
         refusal = identities.authenticate(request_with(unknown), route())
         assert isinstance(refusal, Refuse) and refusal.status == told, refusal
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_runner import run_generation
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
     CallerRequest,
@@ -51,7 +51,7 @@
     calls.open_stream = AsyncMock(side_effect=Break(BreakCause.CONNECT, sent=False))
     budget, quarantine = wide_budget(), Mock(blocks=lambda *_: False)
     loads, idle = LoadTable("z"), Mock()
-    whose, quotas = Identities(lambda: True), Mock()
+    whose, quotas = Authenticator(lambda: True), Mock()
     limits = limits_of_one_node()
     return NodeState(
         "z",
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -14,7 +14,7 @@
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_core import step as generation_step
 from saffronworks.forwarding.generation_state import Out
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
     ENDS_ENDPOINTS,
@@ -173,7 +173,7 @@
             Mock(),
             Mock(),
             quarantine,
-            Identities(lambda: True),
+            Authenticator(lambda: True),
             Mock(),
             Mock(),
             Mock(),
--- a/saffronworks/tests/scripted_wires.py
+++ b/saffronworks/tests/scripted_wires.py
@@ -15,7 +15,7 @@
 from saffronworks.forwarding.connections import EndpointConnection
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.forwarder import Forwarder
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import CallerRequest, PromptSize
 from saffronworks.forwarding.quarantine.suspicions import Admission
@@ -189,7 +189,7 @@
         spawn=Mock(),
         memory=Mock(own_address="n", ask=AsyncMock(return_value=None)),
         quarantine=Mock(blocks=lambda *_: False, admit=lambda _: Admission.FREE),
-        identities=Identities(lambda: True),
+        identities=Authenticator(lambda: True),
         quotas=Mock(admit=AsyncMock(return_value=NOT_COUNTED)),
         limits=limits,
         eligibility=eligibility,
