--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -50,7 +50,7 @@
             return Refuse(503, "unknown-key-out-of-touch", True, OTHER_NODE_RETRY_AFTER_MS)
         return Refuse(401, "unknown-key", not_run=False)
 
-    def holds(self, request: CallerRequest, route: Route) -> bool:
+    def is_still_authorized(self, request: CallerRequest, route: Route) -> bool:
         """Whether a request under way may still be sent: its organisation has its key still."""
         if request.organisation is None or route.public or self.organisations is None:
             return True
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -71,7 +71,7 @@
 
     def barred(self, job: "Job", trial_began: bool = False) -> Refuse | None:
         """Why a request under way is to be sent to no endpoint any more; None while it may be."""
-        if not self.identities.holds(job.request, job.route):
+        if not self.identities.is_still_authorized(job.request, job.route):
             return KEY_REVOKED
         if not trial_began and self.quarantine.blocks(job.request, job.on_trial):
             return ENDS_ENDPOINTS
