--- a/saffronworks/forwarding/organisations.py
+++ b/saffronworks/forwarding/organisations.py
@@ -10,7 +10,7 @@
 __all__ = [
     "BadKey",
     "KeyDigest",
-    "MOST_KEY_BYTES",
+    "MAX_KEY_BYTES",
     "Organisation",
     "Organisations",
     "Quota",
@@ -24,7 +24,7 @@
 KeyDigest = NewType("KeyDigest", bytes)
 
 # Keys have some twenty bytes; a longer one is refused before it is hashed.
-MOST_KEY_BYTES = 256
+MAX_KEY_BYTES = 256
 DIGEST_BYTES = 16
 # Drawn at each start, so that how long a look-up takes tells nothing of a key.
 _SECRET = secrets.token_bytes(DIGEST_BYTES)
@@ -89,7 +89,7 @@
     if len(values) > 1:
         return BadKey("several-keys")
     key = values[0]
-    if len(key) > MOST_KEY_BYTES:
+    if len(key) > MAX_KEY_BYTES:
         return BadKey("key-too-long")
     # Visible ASCII: no blank, no control byte, nothing that two encodings write differently.
     if not key or not all("!" <= sign <= "~" for sign in key):
--- a/saffronworks/platform/organisations.py
+++ b/saffronworks/platform/organisations.py
@@ -5,7 +5,7 @@
 import attrs
 
 from saffronworks.forwarding.organisations import (
-    MOST_KEY_BYTES,
+    MAX_KEY_BYTES,
     BadKey,
     Organisation,
     Organisations,
@@ -60,7 +60,7 @@
     for number, key in enumerate(tenant.api_keys):
         if isinstance(read_key([key]), BadKey):
             problems.append(
-                f"api_keys[{number}] is not of 1 to {MOST_KEY_BYTES} visible ASCII signs"
+                f"api_keys[{number}] is not of 1 to {MAX_KEY_BYTES} visible ASCII signs"
             )
     if tenant.unit not in _UNITS:
         problems.append(f"unit {tenant.unit!r} is not one of {', '.join(sorted(_UNITS))}")
