--- a/saffronworks/forwarding/organisations.py
+++ b/saffronworks/forwarding/organisations.py
@@ -16,7 +16,7 @@
     "Quota",
     "QuotaUnit",
     "digest_key",
-    "read_key",
+    "parse_key",
 ]
 
 # What stands for an API key once its request was read: the key itself is kept nowhere, so that no
@@ -82,7 +82,7 @@
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES, key=_SECRET).digest())
 
 
-def read_key(values: list[str]) -> KeyDigest | BadKey | None:
+def parse_key(values: list[str]) -> KeyDigest | BadKey | None:
     """The key among the values of its field; None where there is no such field."""
     if not values:
         return None
--- a/saffronworks/platform/ingress.py
+++ b/saffronworks/platform/ingress.py
@@ -9,7 +9,7 @@
 from saffronworks.field_numbers import read_decimal, read_whole, shorten
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.messages import AnswerHead, CallerRequest, PromptSize
-from saffronworks.forwarding.organisations import read_key
+from saffronworks.forwarding.organisations import parse_key
 from saffronworks.forwarding.ports import AnswerBody
 from saffronworks.forwarding.routing import CallerLimits
 from saffronworks.platform.calls import ID_FIELD
@@ -85,7 +85,7 @@
             prompt=prompt,
             after_event=after_event,
             caller=call.headers.get("authorization", ""),
-            key=read_key([value for name, value in call.fields if name.lower() == _KEY_FIELD]),
+            key=parse_key([value for name, value in call.fields if name.lower() == _KEY_FIELD]),
         )
     )
 
--- a/saffronworks/platform/organisations.py
+++ b/saffronworks/platform/organisations.py
@@ -12,7 +12,7 @@
     Quota,
     QuotaUnit,
     digest_key,
-    read_key,
+    parse_key,
 )
 
 __all__ = ["Tenant", "check_tenants", "decode_tenants"]
@@ -58,7 +58,7 @@
     if not tenant.name or not all("!" <= sign <= "~" for sign in tenant.name):
         problems.append("the name is empty, or has signs that a header field can't hold")
     for number, key in enumerate(tenant.api_keys):
-        if isinstance(read_key([key]), BadKey):
+        if isinstance(parse_key([key]), BadKey):
             problems.append(
                 f"api_keys[{number}] is not of 1 to {MAX_KEY_BYTES} visible ASCII signs"
             )
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -5,7 +5,7 @@
 
 from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.messages import CallerRequest, Refuse
-from saffronworks.forwarding.organisations import Organisation, read_key
+from saffronworks.forwarding.organisations import Organisation, parse_key
 from saffronworks.platform.configuration import read_configuration
 from saffronworks.tests.endpoint_plays import route
 from saffronworks.tests.platform_place import CONFIG
@@ -21,7 +21,7 @@
 
 @then("a key that it doesn't know is refused as not run, and the ones it knows are served")
 def out_of_touch(context):
-    known, unknown = read_key([KEY]), read_key([OTHER_KEY])
+    known, unknown = parse_key([KEY]), parse_key([OTHER_KEY])
     whose = Organisation("huka270")
     for in_touch, told in ((True, 401), (False, 503)):
         identities = Authenticator(lambda told=in_touch: told, {known: whose})
@@ -62,6 +62,6 @@
 
 @then("the same body is another content for another organisation, and the same for its second key")
 def contents(context):
-    first = request_with(read_key([KEY]), Organisation("a")).content
-    assert first == request_with(read_key([OTHER_KEY]), Organisation("a")).content
-    assert first != request_with(read_key([KEY]), Organisation("b")).content
+    first = request_with(parse_key([KEY]), Organisation("a")).content
+    assert first == request_with(parse_key([OTHER_KEY]), Organisation("a")).content
+    assert first != request_with(parse_key([KEY]), Organisation("b")).content
