--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -24,14 +24,14 @@
     USER_TIMEOUT_MS,
 )
 
-__all__ = ["EndpointConnection", "RawHead"]
+__all__ = ["EndpointConnection", "ResponseHead"]
 
 _NO_BODY = frozenset([204, 304])
 _FIRST_FAILURE = 400
 
 
 @attrs.define
-class RawHead:
+class ResponseHead:
     """Status and header fields of an answer, in order, names as they came."""
 
     status: int = 0
@@ -60,8 +60,8 @@
         self._parser: httptools.HttpResponseParser | None = None
         self._awaited_id: str | None = None
         self._earlier_id: str | None = None
-        self._incoming = RawHead()
-        self._head: RawHead | None = None
+        self._incoming = ResponseHead()
+        self._head: ResponseHead | None = None
         self._dropping = False
         self._bodiless = False
         self._whole = False
@@ -127,7 +127,7 @@
         """A new answer; a second one after a whole answer belongs to no request."""
         if self._whole:
             self.reusable = False
-        self._incoming = RawHead()
+        self._incoming = ResponseHead()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a field."""
@@ -139,7 +139,7 @@
         if self._whole:
             return
         # Fields that follow the body are none of the head.
-        head, self._incoming = self._incoming, RawHead()
+        head, self._incoming = self._incoming, ResponseHead()
         head.status = self._parser.get_status_code()
         self._dropping = head.status < 200 or self._answers_another(head.get(self._id_field))
         if self._dropping:
@@ -175,7 +175,7 @@
             return answer_id == self._earlier_id
         return answer_id != self._awaited_id
 
-    def _read_keep_alive(self, head: RawHead) -> None:
+    def _read_keep_alive(self, head: ResponseHead) -> None:
         if "close" in (head.get("connection") or "").lower():
             self.reusable = False
         for part in (head.get("keep-alive") or "").split(","):
@@ -244,7 +244,7 @@
         self.uses += 1
         self._transport.write(data)
 
-    async def head(self, timeout_ms: float) -> RawHead:
+    async def head(self, timeout_ms: float) -> ResponseHead:
         """The status and fields of the answer; Break when there is none in time."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
--- a/saffronworks/platform/answer_fields.py
+++ b/saffronworks/platform/answer_fields.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from saffronworks.field_numbers import read_decimal, shorten
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit
 
@@ -71,7 +71,7 @@
 }
 
 
-def is_refusal(raw: RawHead) -> bool:
+def is_refusal(raw: ResponseHead) -> bool:
     """Whether the server says that it did not run the request."""
     values = {
         value.strip(" \t").lower() for key, value in raw.fields if key.lower() == NOT_EXECUTED_FIELD
@@ -80,7 +80,7 @@
 
 
 def read_advertisement(
-    raw: RawHead, sent_ms: int, wall_ms: int, ran: bool = True
+    raw: ResponseHead, sent_ms: int, wall_ms: int, ran: bool = True
 ) -> Advertisement | None:
     """What an answer to a request of `sent_ms` says about its server; `wall_ms` is Unix time now.
 
@@ -97,13 +97,13 @@
     return Advertisement(limit, draining, pause_ms, (*odd_draining, *odd_pause))
 
 
-def read_limit(raw: RawHead, sent_ms: int) -> AdvertisedLimit:
+def read_limit(raw: ResponseHead, sent_ms: int) -> AdvertisedLimit:
     """What an answer to a request of `sent_ms` says of the server's limit; of several the least."""
     return _read_limit(_advertised_values(raw), raw, sent_ms)
 
 
 def _read_limit(
-    values: _Values, raw: RawHead, sent_ms: int, request: bool = True
+    values: _Values, raw: ResponseHead, sent_ms: int, request: bool = True
 ) -> AdvertisedLimit:
     # A failure, or an answer that may not be the server's own, doesn't tell that its need is over.
     own = raw.status < 500 and raw.get(ID_FIELD) is not None
@@ -118,7 +118,7 @@
     return AdvertisedLimit(min(named), sent_ms, ran)
 
 
-def _advertised_values(raw: RawHead) -> _Values:
+def _advertised_values(raw: ResponseHead) -> _Values:
     """The values of the fields in which a server says something about itself, by their names."""
     values: _Values = {}
     for key, value in raw.fields:
@@ -166,7 +166,7 @@
     def __init__(self) -> None:
         self.names: set[str] = set()
 
-    def check(self, raw: RawHead, instance: str) -> None:
+    def check(self, raw: ResponseHead, instance: str) -> None:
         """Log the fields of an answer that are new."""
         for key, value in raw.fields:
             name = key.lower()
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -10,7 +10,7 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.connection_pool import ConnectionPool
-from saffronworks.forwarding.connections import EndpointConnection, RawHead
+from saffronworks.forwarding.connections import EndpointConnection, ResponseHead
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
@@ -82,7 +82,7 @@
         self._unknown = UnknownFields()
 
     def read(
-        self, endpoint: ServiceEndpoint, raw: RawHead, sent_ms: int, ran: bool = True
+        self, endpoint: ServiceEndpoint, raw: ResponseHead, sent_ms: int, ran: bool = True
     ) -> Advertisement | None:
         """An answer came to a request, or, without `ran`, to a call of this node's own."""
         self._unknown.check(raw, endpoint.instance)
@@ -330,7 +330,7 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + content
 
 
-def _decode_head(raw: RawHead) -> AnswerHead:
+def _decode_head(raw: ResponseHead) -> AnswerHead:
     refused = is_refusal(raw)
     # Callers asked for no encoding: an encoded body is not the endpoint's own.
     whose = raw.get(ID_FIELD) is not None and raw.get(SIGNATURE_FIELD) is not None
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
 from saffronworks.forwarding.breaks import Break, BreakCause
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
@@ -124,7 +124,7 @@
 
 
 def advertised(status=200, *fields, wall_ms=DATE_MS):
-    return read_advertisement(RawHead(status, [("Request-Id", "r"), *fields]), 7, wall_ms)
+    return read_advertisement(ResponseHead(status, [("Request-Id", "r"), *fields]), 7, wall_ms)
 
 
 def leaving(*values):
@@ -190,9 +190,9 @@
     unknown = UnknownFields()
     with LogLines("saffronworks.platform.answer_fields") as lines:
         for _ in range(2):
-            unknown.check(RawHead(200, [("Server-Mood", "calm"), ("Request-Id", "r")]), "e0")
+            unknown.check(ResponseHead(200, [("Server-Mood", "calm"), ("Request-Id", "r")]), "e0")
         for number in range(200):
-            unknown.check(RawHead(200, [(f"X-{number}", "v")]), "e0")
+            unknown.check(ResponseHead(200, [(f"X-{number}", "v")]), "e0")
     assert len(lines) == UnknownFields.MAX_NAMES and "server-mood" in lines[0]
 
 
--- a/saffronworks/tests/features/steps/endpoint_limits_steps.py
+++ b/saffronworks/tests/features/steps/endpoint_limits_steps.py
@@ -11,7 +11,7 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit, KnownLimit, LimitTable
 from saffronworks.forwarding.endpoint_limits.tuning import KEEP_ENDED_MS
@@ -325,7 +325,7 @@
 
 def read(*values):
     named = [("server-limit", value) for value in values]
-    return read_limit(RawHead(200, [("request-id", "r1"), *named]), 7)
+    return read_limit(ResponseHead(200, [("request-id", "r1"), *named]), 7)
 
 
 @then("a limit is a plain number, of several the least, and anything else leaves what was known")
@@ -338,7 +338,7 @@
         (503, [("not-executed", "1")]),
         (200, []),
     ):
-        assert not read_limit(RawHead(status, fields), 7).ran, status
+        assert not read_limit(ResponseHead(status, fields), 7).ran, status
     odd = ["", " ", "-1", "1e3", "nan", "inf", "²", "1,2", "9" * 400, "1_0", "0x1", "+1"]
     for text in odd:
         word = read("2", text)
--- a/saffronworks/tests/features/steps/rejections_steps.py
+++ b/saffronworks/tests/features/steps/rejections_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.messages import Begin, Refuse
 from saffronworks.forwarding.plain_core import promises_not_run
 from saffronworks.platform.answer_fields import is_refusal
@@ -65,10 +65,10 @@
 @then("an answer whose field says that it was executed is no statement that it was not")
 def denied(context):
     for values in (["0"], ["false"], [" No "], ["1", "0"]):
-        raw = RawHead(503, [("Not-Executed", value) for value in values])
+        raw = ResponseHead(503, [("Not-Executed", value) for value in values])
         assert not is_refusal(raw), values
-    assert is_refusal(RawHead(503, [("Not-Executed", "1")]))
-    assert is_refusal(RawHead(421, []))
+    assert is_refusal(ResponseHead(503, [("Not-Executed", "1")]))
+    assert is_refusal(ResponseHead(421, []))
 
 
 def check_path(streams):
