--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -49,7 +49,7 @@
             rested_ms = monotonic_ms() - connection.idle_since_ms
             if not connection.reusable or rested_ms >= connection.keep_ms:
                 connection.close()
-            elif connection.own_calls_only and not own_call:
+            elif connection.control_calls_only and not own_call:
                 passed_over.append(connection)
             else:
                 found = connection
@@ -90,7 +90,9 @@
         if not busy:
             self._busy.pop(endpoint.instance, None)
         idle = self._idle.setdefault(endpoint.instance, deque())
-        if not connection.finished or (len(idle) >= self.most_idle and connection.own_calls_only):
+        if not connection.finished or (
+            len(idle) >= self.most_idle and connection.control_calls_only
+        ):
             connection.close()
             return
         # Those that serve no requests any more would else keep the place of one that does.
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -71,7 +71,7 @@
         self.keep_ms = float(KEEP_ALIVE_DEFAULT_MS)
         self.reusable = True
         # Whether no request may follow, but calls of the router's own, which carry no id either.
-        self.own_calls_only = False
+        self.control_calls_only = False
         self.uses = 0
 
     # asyncio's callbacks
@@ -165,7 +165,7 @@
         if self._awaited_id is not None:
             self.reusable = False
         elif status >= _FIRST_FAILURE:
-            self.own_calls_only = True
+            self.control_calls_only = True
 
     def _answers_another(self, answer_id: str | None) -> bool:
         """Whether an answer belongs to another request; of a call without an id, to one before."""
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -73,7 +73,7 @@
 
 
 @then("one on which a call of the router's own was refused serves such calls only")
-def own_calls_only(context):
+def control_calls_only(context):
     """A copy of the refusal, taken for a request's answer, would say that it has not run."""
 
     async def play():
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -166,7 +166,7 @@
 
     finished = True
     idle_since_ms = 0.0
-    own_calls_only = False
+    control_calls_only = False
 
     def __init__(self):
         self.closed = self.cause = None
