--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -29,17 +29,19 @@
         self._busy: dict[StartId, set[EndpointConnection]] = {}
         self.most_idle = MAX_IDLE_CONNECTIONS
 
-    async def take(self, endpoint: ServiceEndpoint, own_call: bool = False) -> EndpointConnection:
+    async def take(
+        self, endpoint: ServiceEndpoint, control_call: bool = False
+    ) -> EndpointConnection:
         """An idle connection, else a new one; Break when none can be opened.
 
         `own_call`: for a call of the router's own, not for a request.
         """
-        connection = self._find_idle(endpoint, own_call) or await self._open(endpoint)
+        connection = self._find_idle(endpoint, control_call) or await self._open(endpoint)
         self._busy.setdefault(endpoint.instance, set()).add(connection)
         return connection
 
     def _find_idle(
-        self, endpoint: ServiceEndpoint, own_call: bool = False
+        self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection | None:
         idle = self._idle.get(endpoint.instance, deque())
         passed_over: list[EndpointConnection] = []
@@ -49,7 +51,7 @@
             rested_ms = monotonic_ms() - connection.idle_since_ms
             if not connection.reusable or rested_ms >= connection.keep_ms:
                 connection.close()
-            elif connection.control_calls_only and not own_call:
+            elif connection.control_calls_only and not control_call:
                 passed_over.append(connection)
             else:
                 found = connection
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -245,10 +245,10 @@
         endpoint: ServiceEndpoint,
         request: CallerRequest,
         reserved: bool = False,
-        own_call: bool = False,
+        control_call: bool = False,
     ) -> EndpointConnection:
         """A connection for a request, if the endpoint still wants it; raises Break."""
-        connection = await self.pool.take(endpoint, own_call)
+        connection = await self.pool.take(endpoint, control_call)
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
         except Break:
@@ -291,9 +291,9 @@
         if content:
             lines.append("Content-Type: application/json")
         if request is None:
-            connection = await self.pool.take(endpoint, own_call=True)
+            connection = await self.pool.take(endpoint, control_call=True)
         else:
-            connection = await self._connect(endpoint, request, own_call=True)
+            connection = await self._connect(endpoint, request, control_call=True)
         sent_ms = monotonic_ms()
         try:
             connection.send(_join(lines, content), None)
