--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -49,7 +49,7 @@
         while idle and found is None:
             connection = idle.pop()
             rested_ms = monotonic_ms() - connection.idle_since_ms
-            if not connection.reusable or rested_ms >= connection.keep_ms:
+            if not connection.reusable or rested_ms >= connection.keep_alive_ms:
                 connection.close()
             elif connection.control_calls_only and not control_call:
                 passed_over.append(connection)
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -68,7 +68,7 @@
         self.framed = False
         self._lost: BreakCause | None = None
         self.idle_since_ms = 0
-        self.keep_ms = float(KEEP_ALIVE_DEFAULT_MS)
+        self.keep_alive_ms = float(KEEP_ALIVE_DEFAULT_MS)
         self.reusable = True
         # Whether no request may follow, but calls of the router's own, which carry no id either.
         self.control_calls_only = False
@@ -182,7 +182,7 @@
             key, _, value = part.strip().partition("=")
             timeout_s = read_whole(value)
             if key == "timeout" and isinstance(timeout_s, Ok):
-                self.keep_ms = timeout_s.ok_value * 1000.0 * KEEP_ALIVE_SHARE
+                self.keep_alive_ms = timeout_s.ok_value * 1000.0 * KEEP_ALIVE_SHARE
 
     def on_body(self, data: bytes) -> None:
         """Keep a part of the body for the reader."""
--- a/saffronworks/tests/features/steps/numbers_steps.py
+++ b/saffronworks/tests/features/steps/numbers_steps.py
@@ -69,11 +69,11 @@
         fields = f"Request-Id: r1\r\nKeep-Alive: timeout={value}\r\nContent-Length: 3"
         answer = f"HTTP/1.1 200 OK\r\n{fields}\r\n\r\nown".encode("latin-1")
         _, body = await receive(connection, answer, "r1")
-        return body, connection.keep_ms
+        return body, connection.keep_alive_ms
 
     for value in ("²", "9" * 400, "-1", "nan", "", "1e9", "5"):
-        body, keep_ms = anyio.run(keep_alive, value)
-        assert body == b"own" and 0 < keep_ms < 10_000, (value, keep_ms)
+        body, keep_alive_ms = anyio.run(keep_alive, value)
+        assert body == b"own" and 0 < keep_alive_ms < 10_000, (value, keep_alive_ms)
 
 
 @then("whole numbers and fractions are read exactly, with blanks around them")
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -49,7 +49,7 @@
     context.before_ms = clocks.monotonic_ms()
     context.pool = ConnectionPool("id")
     (context.endpoint,) = endpoints(1, Role.DECODE, "d")
-    context.connection = Mock(finished=True, reusable=True, keep_ms=10_000.0)
+    context.connection = Mock(finished=True, reusable=True, keep_alive_ms=10_000.0)
     context.pool.give_back(context.endpoint, context.connection)
     with suspended(SUSPENDED_S):
         context.after_ms = clocks.monotonic_ms()
