--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -51,14 +51,14 @@
         """The next bytes come from this exchange."""
         if self._buffers.bounded:
             self._connection = exchange.connection
-            self._connection.note_buffered = self._note
+            self._connection.on_buffered_change = self._note
             self._note()
 
     def leave(self) -> None:
         """The exchange is over, or no longer passed on."""
         if self._connection is not None:
             self.hold(False)
-            self._connection.note_buffered = None
+            self._connection.on_buffered_change = None
             self._connection = None
             self._kept_bytes = 0
             self._note()
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -53,7 +53,7 @@
         self._chunks: deque[bytes] = deque()
         self.buffered_bytes = 0
         # Called when `buffered_bytes` has changed, while an answer is passed on.
-        self.note_buffered: Callable[[], None] | None = None
+        self.on_buffered_change: Callable[[], None] | None = None
         self._full = False
         self._held = False
         self.paused = False
@@ -195,8 +195,8 @@
         self.buffered_bytes += len(data)
         self._full = self.buffered_bytes > MOST_BUFFERED_BYTES
         self._update_reading()
-        if self.note_buffered is not None:
-            self.note_buffered()
+        if self.on_buffered_change is not None:
+            self.on_buffered_change()
 
     def hold(self, held: bool) -> None:
         """Read no further, whatever is buffered, or read on; for the bound of the whole node."""
