--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -29,7 +29,7 @@
         self._busy: dict[StartId, set[EndpointConnection]] = {}
         self.most_idle = MAX_IDLE_CONNECTIONS
 
-    async def take(
+    async def acquire(
         self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection:
         """An idle connection, else a new one; Break when none can be opened.
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -248,7 +248,7 @@
         control_call: bool = False,
     ) -> EndpointConnection:
         """A connection for a request, if the endpoint still wants it; raises Break."""
-        connection = await self.pool.take(endpoint, control_call)
+        connection = await self.pool.acquire(endpoint, control_call)
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
         except Break:
@@ -291,7 +291,7 @@
         if content:
             lines.append("Content-Type: application/json")
         if request is None:
-            connection = await self.pool.take(endpoint, control_call=True)
+            connection = await self.pool.acquire(endpoint, control_call=True)
         else:
             connection = await self._connect(endpoint, request, control_call=True)
         sent_ms = monotonic_ms()
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -83,12 +83,12 @@
             return connect()
 
         pool._connect = open_connection
-        first = await pool.take(endpoint, control_call=True)
+        first = await pool.acquire(endpoint, control_call=True)
         await receive(first, CONTROL, None)
         pool.give_back(endpoint, first)
-        other = await pool.take(endpoint)
+        other = await pool.acquire(endpoint)
         assert other is not first
-        assert await pool.take(endpoint, control_call=True) is first
+        assert await pool.acquire(endpoint, control_call=True) is first
 
     anyio.run(play)
 
