--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -85,7 +85,7 @@
         connection.close()
         return True
 
-    def give_back(self, endpoint: ServiceEndpoint, connection: EndpointConnection) -> None:
+    def release(self, endpoint: ServiceEndpoint, connection: EndpointConnection) -> None:
         """Keep a connection whose exchange ended whole; close any other."""
         busy = self._busy.get(endpoint.instance, set())
         busy.discard(connection)
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -128,7 +128,7 @@
 
     def end(self) -> None:
         """Give the connection back, or close it when the answer is not whole."""
-        self._pool.give_back(self._endpoint, self.connection)
+        self._pool.release(self._endpoint, self.connection)
 
 
 class PlatformCalls:
@@ -252,7 +252,7 @@
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
         except Break:
-            self.pool.give_back(endpoint, connection)
+            self.pool.release(endpoint, connection)
             raise
         return connection
 
@@ -300,7 +300,7 @@
             head = await connection.head(CALL_TIMEOUT_MS)
             reply = await connection.body(CALL_TIMEOUT_MS)
         finally:
-            self.pool.give_back(endpoint, connection)
+            self.pool.release(endpoint, connection)
         # Only answers to requests tell that a limit has ended.
         self._answers.read(endpoint, head, sent_ms, ran=False)
         return head.status, reply
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -85,7 +85,7 @@
         pool._connect = open_connection
         first = await pool.acquire(endpoint, control_call=True)
         await receive(first, CONTROL, None)
-        pool.give_back(endpoint, first)
+        pool.release(endpoint, first)
         other = await pool.acquire(endpoint)
         assert other is not first
         assert await pool.acquire(endpoint, control_call=True) is first
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -210,7 +210,7 @@
             idle, busy = Connection(), Connection()
             self.pool._busy.setdefault(endpoint.instance, set()).add(busy)
             self.busy.setdefault(endpoint.instance, []).append(busy)
-            self.pool.give_back(endpoint, idle)
+            self.pool.release(endpoint, idle)
 
     def _ask(self):
         self.asked += 1
--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -50,7 +50,7 @@
     context.pool = ConnectionPool("id")
     (context.endpoint,) = endpoints(1, Role.DECODE, "d")
     context.connection = Mock(finished=True, reusable=True, keep_alive_ms=10_000.0)
-    context.pool.give_back(context.endpoint, context.connection)
+    context.pool.release(context.endpoint, context.connection)
     with suspended(SUSPENDED_S):
         context.after_ms = clocks.monotonic_ms()
         context.idle = context.pool._find_idle(context.endpoint)
