--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -103,7 +103,7 @@
         connection.idle_since_ms = monotonic_ms()
         idle.append(connection)
 
-    def keep_only(self, instances: set[StartId]) -> None:
+    def close_except(self, instances: set[StartId]) -> None:
         """Close what belongs to endpoints that are gone."""
         for instance in [name for name in self._idle if name not in instances]:
             for connection in self._idle.pop(instance):
@@ -126,4 +126,4 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.keep_only(set())
+        self.close_except(set())
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -351,7 +351,7 @@
         known = set(self._directory.endpoints)
         self._state.loads.forget_all_but(known)
         self._eligibility.forget_all_but(known)
-        self._calls.pool.keep_only(known)
+        self._calls.pool.close_except(known)
 
     async def _answer_probe(self, call: Call) -> None:
         if call.path != READINESS_PATH:
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -196,7 +196,7 @@
         for instance in ended:
             self.pool.end(instance)
         known = set(self.directory.endpoints)
-        self.pool.keep_only(known)
+        self.pool.close_except(known)
         self.loads.forget_all_but(known)
         for instance in ended:
             for connection in self.busy.pop(instance, []):
