--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -120,7 +120,7 @@
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
-    def share_among(self, nodes: int, max_connections: int) -> None:
+    def limit_idle(self, nodes: int, max_connections: int) -> None:
         """Keep so few idle connections that all nodes leave half of an endpoint's free."""
         self.most_idle = max(1, min(MAX_IDLE_CONNECTIONS, max_connections // (2 * max(1, nodes))))
 
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -335,7 +335,7 @@
         table = self._forwarder.table
         if table is not None and table.services:
             least = min(service.max_connections for service in table.services.values())
-            self._calls.pool.share_among(self._state.budget.nodes, least)
+            self._calls.pool.limit_idle(self._state.budget.nodes, least)
 
     def _take_table(self, table: RoutingTable) -> bool:
         self._callers.keep_idle(table.limits.idle_timeout_ms / 1000)
