--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -35,7 +35,7 @@
     buffered_bytes: int
     unread_since_ms: int | None = None
     endpoint_waits: bool = False
-    may_wait: bool = True
+    can_pause: bool = True
 
 
 @attrs.frozen
@@ -80,8 +80,8 @@
         """Those with the most bytes, until the others can double theirs within the bound."""
         paused: set[int] = set()
         others_bytes = total_bytes
-        may_wait = [answer for answer in answers if answer.may_wait]
-        for answer in sorted(may_wait, key=lambda a: a.buffered_bytes, reverse=True):
+        can_pause = [answer for answer in answers if answer.can_pause]
+        for answer in sorted(can_pause, key=lambda a: a.buffered_bytes, reverse=True):
             if not answer.buffered_bytes or total_bytes + others_bytes <= self._usable_bytes:
                 break
             paused.add(answer.key)
--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -96,7 +96,7 @@
         return waiting_bytes + self._kept_bytes + self._writing_bytes + self.reply.buffered_bytes
 
     @property
-    def may_wait(self) -> bool:
+    def can_pause(self) -> bool:
         """Whether its endpoint may be held up: the answer needs no more bytes to begin."""
         return self._body is not None or self.counted_bytes >= MAX_PREREAD_BODY_BYTES
 
@@ -210,7 +210,7 @@
                 answer.counted_bytes,
                 answer.unread_since_ms,
                 answer.endpoint_waits,
-                answer.may_wait,
+                answer.can_pause,
             )
             for key, answer in self._answers.items()
         ]
