--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -34,7 +34,7 @@
     key: int
     buffered_bytes: int
     unread_since_ms: int | None = None
-    endpoint_waits: bool = False
+    endpoint_paused: bool = False
     can_pause: bool = True
 
 
@@ -90,6 +90,6 @@
 
     def _reads_nothing(self, answer: BufferedAnswer, now_ms: int) -> bool:
         """Whether a caller holds up an endpoint, or memory that others need, for too long."""
-        if answer.unread_since_ms is None or not (answer.endpoint_waits or self.reached):
+        if answer.unread_since_ms is None or not (answer.endpoint_paused or self.reached):
             return False
         return now_ms - answer.unread_since_ms >= UNREAD_TIMEOUT_MS
--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -101,7 +101,7 @@
         return self._body is not None or self.counted_bytes >= MAX_PREREAD_BODY_BYTES
 
     @property
-    def endpoint_waits(self) -> bool:
+    def endpoint_paused(self) -> bool:
         """Whether its endpoint is not read from at present."""
         return self._connection is not None and self._connection.paused
 
@@ -175,7 +175,7 @@
             # Less is buffered than at the last decision: the next one is due earlier.
             next_look_bytes = self._bound.next_look_bytes(self.total_bytes)
             self._next_look_bytes = min(self._next_look_bytes, next_look_bytes)
-        if self._bound.reached or answer.endpoint_waits or answer.unread:
+        if self._bound.reached or answer.endpoint_paused or answer.unread:
             self._wanted.set()
 
     async def run(self) -> None:
@@ -209,7 +209,7 @@
                 key,
                 answer.counted_bytes,
                 answer.unread_since_ms,
-                answer.endpoint_waits,
+                answer.endpoint_paused,
                 answer.can_pause,
             )
             for key, answer in self._answers.items()
@@ -223,7 +223,7 @@
         for key in decision.disconnected:
             self._disconnect(self._answers[key], now_ms)
         answers = self._answers.values()
-        if not self._bound.reached and not any(a.endpoint_waits or a.unread for a in answers):
+        if not self._bound.reached and not any(a.endpoint_paused or a.unread for a in answers):
             self._wanted = anyio.Event()
 
     def _apply(self, answer: TrackedBody, paused: bool) -> None:
