--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -70,7 +70,7 @@
         disconnected = tuple(a.key for a in answers if self._reads_nothing(a, now_ms))
         return Decision(paused, disconnected)
 
-    def next_look_bytes(self, total_bytes: int) -> float:
+    def next_check_bytes(self, total_bytes: int) -> float:
         """At which total the next decision is due: half of what is left may be used until then."""
         if not self.reached:
             return BUFFER_HIGH_WATERMARK * self._usable_bytes
--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -143,7 +143,7 @@
         self._now_ms = now_ms
         # By the caller's connection: a later answer counts what is left of an earlier one.
         self._answers: dict[int, TrackedBody] = {}
-        self._next_look_bytes = self._bound.next_look_bytes(0) if self._bound else 0.0
+        self._next_look_bytes = self._bound.next_check_bytes(0) if self._bound else 0.0
         self._wanted = anyio.Event()
         figures.watch("saffronworks_buffered_bytes", lambda: [Level(self.total_bytes, {})])
 
@@ -173,8 +173,8 @@
             self._decide()
         else:
             # Less is buffered than at the last decision: the next one is due earlier.
-            next_look_bytes = self._bound.next_look_bytes(self.total_bytes)
-            self._next_look_bytes = min(self._next_look_bytes, next_look_bytes)
+            next_check_bytes = self._bound.next_check_bytes(self.total_bytes)
+            self._next_look_bytes = min(self._next_look_bytes, next_check_bytes)
         if self._bound.reached or answer.endpoint_paused or answer.unread:
             self._wanted.set()
 
@@ -215,7 +215,7 @@
             for key, answer in self._answers.items()
         ]
         decision = self._bound.decide(buffered, now_ms)
-        self._next_look_bytes = self._bound.next_look_bytes(self.total_bytes)
+        self._next_look_bytes = self._bound.next_check_bytes(self.total_bytes)
         if self._bound.reached != was_reached:
             self._log_change(len(decision.paused))
         for key, answer in list(self._answers.items()):
