--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -15,10 +15,10 @@
     UNREAD_TIMEOUT_MS,
 )
 
-__all__ = ["BufferBound", "BufferedAnswer", "Decision", "bound_of_memory"]
+__all__ = ["BufferBound", "BufferedAnswer", "Decision", "buffer_bound"]
 
 
-def bound_of_memory(memory_bytes: int | None) -> int | None:
+def buffer_bound(memory_bytes: int | None) -> int | None:
     """The bound for a node with this memory limit; None where none is known."""
     return None if memory_bytes is None else int(BUFFER_MEMORY_SHARE * memory_bytes)
 
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -11,7 +11,7 @@
 
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.forwarding import store_news
-from saffronworks.forwarding.answer_buffers import bound_of_memory
+from saffronworks.forwarding.answer_buffers import buffer_bound
 from saffronworks.forwarding.buffered_answers import AnswerBuffers
 from saffronworks.forwarding.census import Census, NodeInfo
 from saffronworks.forwarding.directory import Directory
@@ -173,7 +173,7 @@
             quotas=self._quotas,
             limits=self._limits,
             eligibility=self._eligibility,
-            buffers=AnswerBuffers(bound_of_memory(settings.memory_bytes), figures, monotonic_ms),
+            buffers=AnswerBuffers(buffer_bound(settings.memory_bytes), figures, monotonic_ms),
         )
 
     def _told(self) -> bool:
--- a/saffronworks/tests/features/steps/slow_readers_steps.py
+++ b/saffronworks/tests/features/steps/slow_readers_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import given as forall
 from hypothesis import strategies as st
 
-from saffronworks.forwarding.answer_buffers import BufferBound, BufferedAnswer, bound_of_memory
+from saffronworks.forwarding.answer_buffers import BufferBound, BufferedAnswer, buffer_bound
 from saffronworks.forwarding.tuning import UNREAD_TIMEOUT_MS
 from saffronworks.platform.settings import read_platform_settings
 from saffronworks.standins.sites import wait_until
@@ -90,14 +90,14 @@
 def by_settings(context):
     whole = json.loads(settings_text("127.0.0.1:1"))
     fast_readers = read_platform_settings(json.dumps(whole), "f").ok_value
-    assert bound_of_memory(fast_readers.memory_bytes) is None
+    assert buffer_bound(fast_readers.memory_bytes) is None
     whole["contracts"] = ["base", "pressure"]
     whole["limits"] = {"cores": 2}
     without = read_platform_settings(json.dumps(whole), "f").ok_value
-    assert bound_of_memory(without.memory_bytes) is None
+    assert buffer_bound(without.memory_bytes) is None
     whole["limits"] = {"cores": 2, "memory_mb": 128}
     limited = read_platform_settings(json.dumps(whole), "f").ok_value
-    assert bound_of_memory(limited.memory_bytes) == 16_000_000
+    assert buffer_bound(limited.memory_bytes) == 16_000_000
     whole["limits"] = {"cores": 2, "memory_mb": -1}
     assert read_platform_settings(json.dumps(whole), "f").is_err()
 
