--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -47,7 +47,7 @@
         self._body = body
         self._kept_bytes = 0
 
-    def follow(self, exchange: Exchange) -> None:
+    def attach(self, exchange: Exchange) -> None:
         """The next bytes come from this exchange."""
         if self._buffers.bounded:
             self._connection = exchange.connection
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -314,7 +314,7 @@
         assert self._stream is not None
         node, job = self._node, self._job
         body = await start_answer(node, job, head)
-        body.follow(self._stream.exchange)
+        body.attach(self._stream.exchange)
         try:
             await relay_rest(node, job, self._stream.exchange, body)
         except Break as broken:
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -169,7 +169,7 @@
         until_ms = node.now_ms() + wait_ms
         left_ms = job.deadline_at_ms - node.now_ms()
         self._exchange = await node.calls.send(endpoint, job.request, left_ms)
-        self._body.follow(self._exchange)
+        self._body.attach(self._exchange)
         self._head = await self._exchange.head(max(1, until_ms - node.now_ms()))
         self._first_ms = node.now_ms()
         self._start_of_body, self._body_whole = b"", False
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -80,7 +80,7 @@
     async def send_events(self, run: StreamRun) -> None:
         """Send on the events of a run to its good end, and end the answer; raises Break."""
         assert self._body is not None
-        self._body.follow(run.exchange)
+        self._body.attach(run.exchange)
         try:
             while (mark := await run.next_events(self._pause_limit_ms())) is not None:
                 self._note(mark.ids)
