--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -54,7 +54,7 @@
             self._connection.on_buffered_change = self._note
             self._note()
 
-    def leave(self) -> None:
+    def detach(self) -> None:
         """The exchange is over, or no longer passed on."""
         if self._connection is not None:
             self.hold(False)
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -320,7 +320,7 @@
         except Break as broken:
             return self._relay_broke(broken)
         finally:
-            body.leave()
+            body.detach()
         await body.finish()
         node.figures.count("answered", job.route.name)
         logger.info(
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -206,7 +206,7 @@
             reply.cut()
             return
         finally:
-            body.leave()
+            body.detach()
         await body.finish()
         if self._head.success:
             node.quarantine.note_whole(job.request, self._exchange.framed)
@@ -233,6 +233,6 @@
 
     def _end_exchange(self) -> None:
         if self._exchange is not None:
-            self._body.leave()
+            self._body.detach()
             self._exchange.end()
             self._exchange = None
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -88,7 +88,7 @@
             if run.rest():
                 await self._body.write(run.rest())
         finally:
-            self._body.leave()
+            self._body.detach()
         await self._body.finish()
         self._node.quarantine.note_whole(self._job.request, run.exchange.framed)
         self._log_end(run)
