--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -37,7 +37,7 @@
         self._written_bytes = 0
         self._taken_bytes = 0
 
-    def keep(self, kept_bytes: int) -> None:
+    def set_preread_bytes(self, kept_bytes: int) -> None:
         """So many bytes were taken from the exchange, and wait for the answer to begin."""
         self._kept_bytes = kept_bytes
         self._note()
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -179,7 +179,7 @@
                 self._body_whole = True
                 break
             self._start_of_body += chunk
-            self._body.keep(len(self._start_of_body))
+            self._body.set_preread_bytes(len(self._start_of_body))
         return self._head
 
     async def _relay(self) -> None:
