--- a/saffronworks/forwarding/event_streams.py
+++ b/saffronworks/forwarding/event_streams.py
@@ -4,7 +4,7 @@
 
 from saffronworks.forwarding.messages import EventMark
 
-__all__ = ["EventCutter", "EventSequence"]
+__all__ = ["EventSplitter", "EventSequence"]
 
 # An event ends with an empty line, in either way of ending lines.
 _BLANK_LINES = (b"\n\n", b"\r\n\r\n")
@@ -13,7 +13,7 @@
 
 
 @attrs.define
-class EventCutter:
+class EventSplitter:
     """Holds back an event that is not whole, so that another endpoint can go on after it."""
 
     _rest: bytearray = attrs.Factory(bytearray)
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -1,7 +1,7 @@
 """One endpoint's run of a stream, read event by event."""
 
 from saffronworks.forwarding.breaks import Break, BreakCause
-from saffronworks.forwarding.event_streams import EventCutter, EventSequence
+from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.messages import AnswerHead, EventMark
 from saffronworks.forwarding.ports import Exchange
 
@@ -17,7 +17,7 @@
 
     def __init__(self, exchange: Exchange):
         self.exchange = exchange
-        self._cutter = EventCutter()
+        self._cutter = EventSplitter()
         self._first: EventMark | None = None
 
     async def head(self, timeout_ms: float) -> AnswerHead:
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -8,7 +8,7 @@
 
 from saffronworks.forwarding import plain_core as plain
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
-from saffronworks.forwarding.event_streams import EventCutter
+from saffronworks.forwarding.event_streams import EventSplitter
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
@@ -147,7 +147,7 @@
         whole = b"".join(events)
         sent = whole[: len(whole) - missing]
         edges = [0, *sorted(min(cut, len(sent)) for cut in cuts), len(sent)]
-        cutter, out, ids = EventCutter(), b"", ()
+        cutter, out, ids = EventSplitter(), b"", ()
         for start, end in zip(edges, edges[1:], strict=False):
             mark = cutter.feed(sent[start:end])
             if mark is not None:
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from saffronworks.forwarding.breaks import Break
-from saffronworks.forwarding.event_streams import EventCutter, EventSequence
+from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
 from saffronworks.forwarding.generation_state import Out
 from saffronworks.forwarding.messages import CallerRequest, KvHold, Refuse
@@ -185,7 +185,7 @@
 @then("twenty-six megabytes of an event that does not end take no second of the node's time")
 def searched_once(context):
     """0.1 s; 18 s where all that is held back is searched anew with each part."""
-    cutter, began_s = EventCutter(), time.process_time()
+    cutter, began_s = EventSplitter(), time.process_time()
     for _ in range(400):
         assert cutter.feed(b"x" * 65_536) is None
         assert time.process_time() - began_s < 1.0
