--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -17,7 +17,7 @@
 
     def __init__(self, exchange: Exchange):
         self.exchange = exchange
-        self._cutter = EventSplitter()
+        self._splitter = EventSplitter()
         self._first: EventMark | None = None
 
     async def head(self, timeout_ms: float) -> AnswerHead:
@@ -50,13 +50,13 @@
 
     async def _next(self, timeout_ms: float) -> EventMark | None:
         while (chunk := await self.exchange.next_chunk(timeout_ms)) is not None:
-            mark = self._cutter.feed(chunk)
+            mark = self._splitter.feed(chunk)
             if mark is not None:
                 return mark
-        if self._cutter.rest() and not self.exchange.framed:
+        if self._splitter.rest() and not self.exchange.framed:
             raise Break(BreakCause.CLOSED, sent=True)
         return None
 
     def rest(self) -> bytes:
         """What follows the last whole event at a good end, as the endpoint sent it."""
-        return self._cutter.rest()
+        return self._splitter.rest()
