--- a/saffronworks/forwarding/event_streams.py
+++ b/saffronworks/forwarding/event_streams.py
@@ -31,7 +31,7 @@
         del self._rest[:end]
         return EventMark(whole, _ids(whole))
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What follows the last whole event; at a good end it is empty."""
         return bytes(self._rest)
 
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -228,8 +228,8 @@
         job, now_ms = self._job, self._node.now_ms
         while (mark := await run.next_events(max(1, job.deadline_at_ms - now_ms()))) is not None:
             await body.write(mark.data)
-        if run.rest():
-            await body.write(run.rest())
+        if run.remainder():
+            await body.write(run.remainder())
 
     def _end_exchange(self) -> None:
         if self._exchange is not None:
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -85,8 +85,8 @@
             while (mark := await run.next_events(self._pause_limit_ms())) is not None:
                 self._note(mark.ids)
                 await self._body.write(mark.data)
-            if run.rest():
-                await self._body.write(run.rest())
+            if run.remainder():
+                await self._body.write(run.remainder())
         finally:
             self._body.detach()
         await self._body.finish()
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -39,7 +39,7 @@
         """
         if self._first is not None:
             return sent.continues(self._first.ids)
-        return self.exchange.framed and not self.rest()
+        return self.exchange.framed and not self.remainder()
 
     async def next_events(self, timeout_ms: float) -> EventMark | None:
         """The next whole events, None at a good end; raises Break."""
@@ -53,10 +53,10 @@
             mark = self._splitter.feed(chunk)
             if mark is not None:
                 return mark
-        if self._splitter.rest() and not self.exchange.framed:
+        if self._splitter.remainder() and not self.exchange.framed:
             raise Break(BreakCause.CLOSED, sent=True)
         return None
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What follows the last whole event at a good end, as the endpoint sent it."""
-        return self._splitter.rest()
+        return self._splitter.remainder()
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -153,7 +153,7 @@
             if mark is not None:
                 out += mark.data
                 ids += mark.ids
-        assert out + cutter.rest() == sent
+        assert out + cutter.remainder() == sent
         count = out.count(b"id: ")
         assert out == b"".join(events[:count]) and ids == tuple(range(1, count + 1))
 
