--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -145,7 +145,7 @@
         self._answers: dict[int, TrackedBody] = {}
         self._next_look_bytes = self._bound.next_check_bytes(0) if self._bound else 0.0
         self._wanted = anyio.Event()
-        figures.watch("saffronworks_buffered_bytes", lambda: [Level(self.total_bytes, {})])
+        figures.register_gauge("saffronworks_buffered_bytes", lambda: [Level(self.total_bytes, {})])
 
     @property
     def bounded(self) -> bool:
--- a/saffronworks/forwarding/figures.py
+++ b/saffronworks/forwarding/figures.py
@@ -83,7 +83,7 @@
         """Count an answer of this node's planner to an ask for memory."""
         self._add("saffronworks_planned", service=service, outcome=outcome, priority=str(priority))
 
-    def watch(self, name: str, read: Callable[[], Iterable[Level]]) -> None:
+    def register_gauge(self, name: str, read: Callable[[], Iterable[Level]]) -> None:
         """Have a gauge read whenever somebody asks for the metrics."""
         self.gauges[name] = read
 
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -59,8 +59,8 @@
         self._settled: Counter[tuple[str, str, int]] = Counter()
         self._trimmed_revision = directory.revision
         self._active = anyio.Event()
-        figures.watch("saffronworks_plan_waiting", lambda: self._levels(_waiting))
-        figures.watch("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
+        figures.register_gauge("saffronworks_plan_waiting", lambda: self._levels(_waiting))
+        figures.register_gauge("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
         """Answer asks until cancelled."""
