--- a/saffronworks/forwarding/figures.py
+++ b/saffronworks/forwarding/figures.py
@@ -105,7 +105,7 @@
         name = "saffronworks_thousand_tokens_ms"
         self._samples.append(Sample(name, ms, self._label(service=service, pace=pace)))
 
-    def take_samples(self) -> list[Sample]:
+    def drain_samples(self) -> list[Sample]:
         """The times since the last call; each is told once."""
         samples = list(self._samples)
         self._samples.clear()
--- a/saffronworks/metrics.py
+++ b/saffronworks/metrics.py
@@ -112,6 +112,6 @@
 
     def render(self) -> bytes:
         """The scrape page, with what was sampled since the last one."""
-        for sample in self._figures.take_samples():
+        for sample in self._figures.drain_samples():
             self._histograms[sample.name].record(sample.value_ms, dict(sample.labels))
         return scrape_page()
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -238,7 +238,7 @@
     for later_ms in range(0, 2000, 20):
         planner._tell_speeds(plan, START_MS + later_ms)
     told = sum(figures.counts.values())
-    assert told == len(figures.take_samples()) == 2 * SPEED_NEWS_PER_S, told
+    assert told == len(figures.drain_samples()) == 2 * SPEED_NEWS_PER_S, told
 
 
 NUMBERS = st.sampled_from((0, -1, -(2**63), 1, 7, 400, 2**63)) | st.integers(-(10**6), 10**9)
