--- a/saffronworks/forwarding/breaks.py
+++ b/saffronworks/forwarding/breaks.py
@@ -2,10 +2,10 @@
 
 import enum
 
-__all__ = ["Break", "BreakCause"]
+__all__ = ["Break", "ExchangeErrorCause"]
 
 
-class BreakCause(enum.StrEnum):
+class ExchangeErrorCause(enum.StrEnum):
     """Why an exchange ended without a whole answer."""
 
     CONNECT = "connect"
@@ -21,13 +21,13 @@
     WITHHELD = "withheld"
 
 
-_UNREACHABLE = frozenset([BreakCause.CONNECT, BreakCause.UNREACHABLE])
+_UNREACHABLE = frozenset([ExchangeErrorCause.CONNECT, ExchangeErrorCause.UNREACHABLE])
 
 
 class Break(Exception):
     """The exchange is over; `sent` tells whether the endpoint may have seen the request."""
 
-    def __init__(self, cause: BreakCause, sent: bool):
+    def __init__(self, cause: ExchangeErrorCause, sent: bool):
         super().__init__(cause.value)
         self.cause = cause
         self.sent = sent
@@ -35,7 +35,7 @@
     @property
     def withheld(self) -> bool:
         """Whether the endpoint was not tried, so that it has not failed."""
-        return self.cause is BreakCause.WITHHELD
+        return self.cause is ExchangeErrorCause.WITHHELD
 
     @property
     def unreachable(self) -> bool:
--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.connections import EndpointConnection
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.starts import StartId
@@ -62,7 +62,7 @@
         try:
             return await self._connect(endpoint)
         except (OSError, TimeoutError):
-            raise Break(BreakCause.CONNECT, sent=False) from None
+            raise Break(ExchangeErrorCause.CONNECT, sent=False) from None
 
     async def _connect(self, endpoint: ServiceEndpoint) -> EndpointConnection:
         host, port = parse_address(endpoint.address)
@@ -116,7 +116,7 @@
         up to the deadline of its caller.
         """
         for connection in self._busy.pop(instance, ()):
-            connection.give_up(BreakCause.RESTARTED)
+            connection.give_up(ExchangeErrorCause.RESTARTED)
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -16,7 +16,7 @@
 from result import Ok
 
 from saffronworks.field_numbers import read_whole
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.tuning import (
     KEEP_ALIVE_DEFAULT_MS,
     KEEP_ALIVE_SHARE,
@@ -66,7 +66,7 @@
         self._bodiless = False
         self._whole = False
         self.framed = False
-        self._lost: BreakCause | None = None
+        self._lost: ExchangeErrorCause | None = None
         self.idle_since_ms = 0
         self.keep_alive_ms = float(KEEP_ALIVE_DEFAULT_MS)
         self.reusable = True
@@ -95,7 +95,7 @@
         except httptools.HttpParserError:
             self.reusable = False
             if not self._whole:
-                self._lose(BreakCause.NOT_HTTP)
+                self._lose(ExchangeErrorCause.NOT_HTTP)
             self.close()
         self._changed.set()
 
@@ -104,19 +104,19 @@
         self.reusable = False
         if self._head is not None and not self.framed and not self._dropping:
             self._whole = True
-        self._lose(BreakCause.CLOSED)
+        self._lose(ExchangeErrorCause.CLOSED)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """A reset, the end after a close, or bytes that nobody acknowledged (ETIMEDOUT)."""
         self.reusable = False
         if exc is None:
-            self._lose(BreakCause.CLOSED)
+            self._lose(ExchangeErrorCause.CLOSED)
         else:
             timed_out = isinstance(exc, TimeoutError)
-            self._lose(BreakCause.UNREACHABLE if timed_out else BreakCause.RESET)
+            self._lose(ExchangeErrorCause.UNREACHABLE if timed_out else ExchangeErrorCause.RESET)
 
-    def _lose(self, cause: BreakCause) -> None:
+    def _lose(self, cause: ExchangeErrorCause) -> None:
         if self._lost is None:
             self._lost = cause
         self._changed.set()
@@ -228,7 +228,7 @@
         Break when the connection is gone already.
         """
         if self._lost is not None or self._transport is None or self._transport.is_closing():
-            raise Break(BreakCause.CLOSED, sent=False)
+            raise Break(ExchangeErrorCause.CLOSED, sent=False)
         self._parser = httptools.HttpResponseParser(self)
         if self._awaited_id is not None:
             self._earlier_id = self._awaited_id
@@ -253,7 +253,7 @@
                         raise Break(self._lost, sent=True)
                     await self._wait()
         except TimeoutError:
-            raise Break(BreakCause.SILENT, sent=True) from None
+            raise Break(ExchangeErrorCause.SILENT, sent=True) from None
         return self._head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
@@ -263,7 +263,7 @@
                 return None
             # An endpoint that is not read from is not silent.
             if not self._held:
-                raise Break(BreakCause.SILENT, sent=True)
+                raise Break(ExchangeErrorCause.SILENT, sent=True)
         data = b"".join(self._chunks)
         self._chunks.clear()
         self.buffered_bytes = 0
@@ -297,7 +297,7 @@
         """Whether the exchange ended whole and another may follow."""
         return self._whole and self.reusable and self._lost is None
 
-    def give_up(self, cause: BreakCause) -> None:
+    def give_up(self, cause: ExchangeErrorCause) -> None:
         """End an exchange whose endpoint will not answer any more."""
         self.reusable = False
         self._lose(cause)
--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Set
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
@@ -148,7 +148,7 @@
             block.for_ms,
             self._directory.revision,
         )
-        raise Break(BreakCause.WITHHELD, sent=False)
+        raise Break(ExchangeErrorCause.WITHHELD, sent=False)
 
     def describe(self, instance: StartId) -> str:
         """The state that an endpoint advertises, for a log line."""
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import NoPermit
 from saffronworks.forwarding.generation_state import (
@@ -270,7 +270,7 @@
             self._note_break("stream", endpoint, broken)
             if broken.withheld:
                 return events.StreamWithheld(endpoint.instance)
-            silent = broken.cause is BreakCause.SILENT
+            silent = broken.cause is ExchangeErrorCause.SILENT
             return events.StreamBroken(endpoint.instance, broken.sent, silent)
         if head.executed is Executed.NO:
             self._job.runs.take_back_run()
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -3,7 +3,7 @@
 import logging
 
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import FREE, Permit
 from saffronworks.forwarding.messages import AnswerHead, Begin, Executed, Refuse
@@ -139,7 +139,7 @@
                 self._job.runs.take_back_run()
                 self._release_permit()
             node.note_break(PLAIN, self._job.request, endpoint, broken)
-            return Broken(endpoint.instance, broken.sent, broken.cause is BreakCause.SILENT)
+            return Broken(endpoint.instance, broken.sent, broken.cause is ExchangeErrorCause.SILENT)
         finally:
             load.outstanding -= 1
             self._permit = FREE
--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import BreakCause
+from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.neighbours import Neighbours
@@ -61,11 +61,11 @@
 # How an exchange breaks when the process or the machine at the other side ends.
 _ENDS = frozenset(
     [
-        BreakCause.CLOSED,
-        BreakCause.RESET,
-        BreakCause.RESTARTED,
-        BreakCause.SILENT,
-        BreakCause.UNREACHABLE,
+        ExchangeErrorCause.CLOSED,
+        ExchangeErrorCause.RESET,
+        ExchangeErrorCause.RESTARTED,
+        ExchangeErrorCause.SILENT,
+        ExchangeErrorCause.UNREACHABLE,
     ]
 )
 
@@ -151,7 +151,7 @@
     if event.leaving or event.cause not in _ENDS:
         return []
     instance = event.endpoint.instance
-    if event.cause is BreakCause.RESTARTED:
+    if event.cause is ExchangeErrorCause.RESTARTED:
         return _add_ends(state, {event.content}, instance, now_ms)
     if instance in state.looks:
         state.looks[instance].contents.add(event.content)
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import BreakCause
+from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
@@ -52,7 +52,7 @@
 
     content: ContentId
     endpoint: ServiceEndpoint
-    cause: BreakCause
+    cause: ExchangeErrorCause
     leaving: bool = False
 
 
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.messages import CallerRequest
 from saffronworks.forwarding.ports import EndpointCalls, ObjectSource
@@ -114,7 +114,7 @@
         Silence counts where it was `waited_for`: a request that is sent elsewhere when a little
         time has passed says nothing of the first endpoint, and a look at it costs a connection.
         """
-        if broken.cause is BreakCause.SILENT and not waited_for:
+        if broken.cause is ExchangeErrorCause.SILENT and not waited_for:
             return
         known = self._directory.endpoints.get(endpoint.instance)
         leaving = known is None or known.draining
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.buffered_answers import TrackedBody
 from saffronworks.forwarding.event_streams import EventSequence
 from saffronworks.forwarding.generation_state import GenerationState
@@ -66,7 +66,7 @@
             follows,
         )
         if not follows:
-            raise Break(BreakCause.OUT_OF_ORDER, sent=True)
+            raise Break(ExchangeErrorCause.OUT_OF_ORDER, sent=True)
 
     async def start(self, head: AnswerHead) -> None:
         """Send the head of the stream, without a length where another run may end it."""
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -1,6 +1,6 @@
 """One endpoint's run of a stream, read event by event."""
 
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.messages import AnswerHead, EventMark
 from saffronworks.forwarding.ports import Exchange
@@ -54,7 +54,7 @@
             if mark is not None:
                 return mark
         if self._splitter.remainder() and not self.exchange.framed:
-            raise Break(BreakCause.CLOSED, sent=True)
+            raise Break(ExchangeErrorCause.CLOSED, sent=True)
         return None
 
     def remainder(self) -> bytes:
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -8,7 +8,7 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
@@ -250,7 +250,7 @@
     assert isinstance(read, ReadPrompt)
     again = generation_core.step(state, StreamWithheld("d0"), pools, budget, 2)
     assert isinstance(again, AskPlanner) and "d0" in again.avoid and not again.broken
-    assert not state.runs and Break(BreakCause.WITHHELD, sent=False).withheld
+    assert not state.runs and Break(ExchangeErrorCause.WITHHELD, sent=False).withheld
 
 
 BLOCKS = st.dictionaries(
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import BreakCause
+from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.directory import (
     OBSOLETE_START_TTL_MS,
@@ -200,7 +200,7 @@
         self.loads.forget_all_but(known)
         for instance in ended:
             for connection in self.busy.pop(instance, []):
-                assert connection.cause is BreakCause.RESTARTED
+                assert connection.cause is ExchangeErrorCause.RESTARTED
         assert not set(self.pool._idle) - known and not set(self.pool._busy) & set(ended)
         self._connect()
         self._ask()
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -10,7 +10,7 @@
 
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, BreakCause
+from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_core import step as generation_step
 from saffronworks.forwarding.generation_state import Out
@@ -101,7 +101,7 @@
     assert len(told.suspicions) == MOST_TOLD // 2 and most_bytes_s < 4000, most_bytes_s
 
 
-def broke(content=DEADLY, number=1, cause=BreakCause.CLOSED, **changes):
+def broke(content=DEADLY, number=1, cause=ExchangeErrorCause.CLOSED, **changes):
     return events.RunBroke(content, endpoint_at(number), cause, **changes)
 
 
@@ -113,7 +113,7 @@
     """Let endpoints end under a content, as this node sees it."""
     for number in numbers:
         instance = endpoint_at(number).instance
-        step(state, broke(content, number, BreakCause.RESTARTED), now_ms)
+        step(state, broke(content, number, ExchangeErrorCause.RESTARTED), now_ms)
         assert instance in state.table.find(content).ended
 
 
@@ -140,13 +140,17 @@
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(DEADLY) is not None) is shows, found
         assert not state.looks
-    for cause in (BreakCause.CONNECT, BreakCause.NOT_HTTP, BreakCause.OUT_OF_ORDER):
+    for cause in (
+        ExchangeErrorCause.CONNECT,
+        ExchangeErrorCause.NOT_HTTP,
+        ExchangeErrorCause.OUT_OF_ORDER,
+    ):
         assert not step(alone(), broke(cause=cause), 0), cause
 
 
 @then("an endpoint that leaves as planned blames nobody")
 def planned(context):
-    for cause in BreakCause:
+    for cause in ExchangeErrorCause:
         state = alone()
         assert not step(state, broke(cause=cause, leaving=True), 0) and state.idle
 
@@ -178,7 +182,7 @@
             Mock(),
             Mock(),
         )
-        node.note_break(kind, request, endpoint_at(1), Break(BreakCause.RESET, sent))
+        node.note_break(kind, request, endpoint_at(1), Break(ExchangeErrorCause.RESET, sent))
         assert node.quarantine.note_break.called is noted, (kind, sent)
 
 
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import BreakCause
+from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.quarantine import events
@@ -136,7 +136,7 @@
     def _end(self, name, runs_left):
         self.ends.append(self.now_ms)
         endpoint = endpoint_at(next(self._endpoints))
-        self.take(name, events.RunBroke(DEADLY, endpoint, BreakCause.CLOSED))
+        self.take(name, events.RunBroke(DEADLY, endpoint, ExchangeErrorCause.CLOSED))
         admission = self.nodes[name].state.table.admission(DEADLY, self.now_ms)
         if runs_left and admission is Admission.FREE:
             self._run(name, runs_left)
