--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -109,7 +109,7 @@
             for connection in self._idle.pop(instance):
                 connection.close()
 
-    def end(self, instance: StartId) -> None:
+    def close_instance(self, instance: StartId) -> None:
         """A later start has taken the place of this one: it answers nothing any more.
 
         Without this, a request at an endpoint that went without a reset waits for its own time-out,
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -347,7 +347,7 @@
 
     def _forget_gone(self) -> None:
         for instance in self._directory.take_ended():
-            self._calls.pool.end(instance)
+            self._calls.pool.close_instance(instance)
         known = set(self._directory.endpoints)
         self._state.loads.forget_all_but(known)
         self._eligibility.forget_all_but(known)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -194,7 +194,7 @@
         self.now_ms = now_ms
         ended = self.directory.take_ended()
         for instance in ended:
-            self.pool.end(instance)
+            self.pool.close_instance(instance)
         known = set(self.directory.endpoints)
         self.pool.close_except(known)
         self.loads.forget_all_but(known)
