--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -91,7 +91,7 @@
         """Which nodes there are, by their addresses, with their processor cores."""
         starts = not self.bound.nodes
         self.bound.take_nodes(cores)
-        self._neighbours.take(cores)
+        self._neighbours.update_nodes(cores)
         self._backoff.nodes = max(1, len(cores))
         for node in self._neighbours.choose(ASKED_AT_START) if starts else ():
             self._post(node, LimitsWanted(self._own_address))
--- a/saffronworks/forwarding/neighbours.py
+++ b/saffronworks/forwarding/neighbours.py
@@ -25,7 +25,7 @@
     nodes: tuple[str, ...] = ()
     _near: list[str] = attrs.Factory(list)
 
-    def take(self, nodes: Iterable[str]) -> None:
+    def update_nodes(self, nodes: Iterable[str]) -> None:
         """Which nodes there are from now on."""
         self.nodes = tuple(nodes)
         others = [node for node in self.nodes if node != self.own]
--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -97,7 +97,7 @@
 
     def take_nodes(self, nodes: Iterable[str]) -> None:
         """Which nodes there are from now on."""
-        self.neighbours.take(nodes)
+        self.neighbours.update_nodes(nodes)
 
     @property
     def idle(self) -> bool:
--- a/saffronworks/tests/limit_plays.py
+++ b/saffronworks/tests/limit_plays.py
@@ -69,7 +69,7 @@
 
     def _start(self, name):
         neighbours = Neighbours(name, self.rng)
-        neighbours.take(self.names)
+        neighbours.update_nodes(self.names)
         return _Node(neighbours, LimitBackoff(self.rng, len(self.names)))
 
     def restart(self, name):
