--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -116,7 +116,7 @@
         up to the deadline of its caller.
         """
         for connection in self._busy.pop(instance, ()):
-            connection.give_up(ExchangeErrorCause.RESTARTED)
+            connection.abort_exchange(ExchangeErrorCause.RESTARTED)
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -297,7 +297,7 @@
         """Whether the exchange ended whole and another may follow."""
         return self._whole and self.reusable and self._lost is None
 
-    def give_up(self, cause: ExchangeErrorCause) -> None:
+    def abort_exchange(self, cause: ExchangeErrorCause) -> None:
         """End an exchange whose endpoint will not answer any more."""
         self.reusable = False
         self._lose(cause)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -174,7 +174,7 @@
     def close(self):
         self.closed = True
 
-    def give_up(self, cause):
+    def abort_exchange(self, cause):
         self.cause = cause
 
 
