--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -57,7 +57,7 @@
     def detach(self) -> None:
         """The exchange is over, or no longer passed on."""
         if self._connection is not None:
-            self.hold(False)
+            self.set_reading_paused(False)
             self._connection.on_buffered_change = None
             self._connection = None
             self._kept_bytes = 0
@@ -83,11 +83,11 @@
         assert self._body is not None
         await self._body.finish()
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, held: bool) -> None:
         """Read from the endpoint no further, or again."""
         if self._connection is not None:
             self.held = held
-            self._connection.hold(held)
+            self._connection.set_reading_paused(held)
 
     @property
     def buffered_bytes(self) -> int:
@@ -168,7 +168,7 @@
         self._count(answer)
         if answer.held and not answer.counted_bytes:
             # It may go on at once: its caller has taken all.
-            answer.hold(False)
+            answer.set_reading_paused(False)
         if self.total_bytes >= self._next_look_bytes:
             self._decide()
         else:
@@ -230,7 +230,7 @@
         if paused and not answer.held:
             self._figures.count_buffers("paused")
         if paused != answer.held:
-            answer.hold(paused)
+            answer.set_reading_paused(paused)
 
     def _disconnect(self, answer: TrackedBody, now_ms: int) -> None:
         """End an answer that its caller does not read; what runs for it ends with it."""
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -198,7 +198,7 @@
         if self.on_buffered_change is not None:
             self.on_buffered_change()
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, held: bool) -> None:
         """Read no further, whatever is buffered, or read on; for the bound of the whole node."""
         self._held = held
         self._update_reading()
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -101,10 +101,10 @@
         connection = connect()
         connection.send(b"", "r1")
         connection.data_received(IN_CHUNKS)
-        connection.hold(True)
+        connection.set_reading_paused(True)
         asyncio.get_running_loop().call_later(0.06, connection.data_received, b"3\r\nown\r\n")
         assert await connection.next_chunk(timeout_ms=10) == b"own"
-        connection.hold(False)
+        connection.set_reading_paused(False)
         try:
             await connection.next_chunk(timeout_ms=10)
         except Break as broken:
