--- a/saffronworks/forwarding/breaks.py
+++ b/saffronworks/forwarding/breaks.py
@@ -2,7 +2,7 @@
 
 import enum
 
-__all__ = ["Break", "ExchangeErrorCause"]
+__all__ = ["ExchangeError", "ExchangeErrorCause"]
 
 
 class ExchangeErrorCause(enum.StrEnum):
@@ -24,7 +24,7 @@
 _UNREACHABLE = frozenset([ExchangeErrorCause.CONNECT, ExchangeErrorCause.UNREACHABLE])
 
 
-class Break(Exception):
+class ExchangeError(Exception):
     """The exchange is over; `sent` tells whether the endpoint may have seen the request."""
 
     def __init__(self, cause: ExchangeErrorCause, sent: bool):
--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connections import EndpointConnection
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.starts import StartId
@@ -32,7 +32,7 @@
     async def acquire(
         self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection:
-        """An idle connection, else a new one; Break when none can be opened.
+        """An idle connection, else a new one; ExchangeError when none can be opened.
 
         `own_call`: for a call of the router's own, not for a request.
         """
@@ -62,7 +62,7 @@
         try:
             return await self._connect(endpoint)
         except (OSError, TimeoutError):
-            raise Break(ExchangeErrorCause.CONNECT, sent=False) from None
+            raise ExchangeError(ExchangeErrorCause.CONNECT, sent=False) from None
 
     async def _connect(self, endpoint: ServiceEndpoint) -> EndpointConnection:
         host, port = parse_address(endpoint.address)
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -16,7 +16,7 @@
 from result import Ok
 
 from saffronworks.field_numbers import read_whole
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.tuning import (
     KEEP_ALIVE_DEFAULT_MS,
     KEEP_ALIVE_SHARE,
@@ -225,10 +225,10 @@
     def send(self, data: bytes, awaited_id: str | None, bodiless: bool = False) -> None:
         """Start an exchange; `bodiless` where the answer is a head alone (the method HEAD).
 
-        Break when the connection is gone already.
+        ExchangeError when the connection is gone already.
         """
         if self._lost is not None or self._transport is None or self._transport.is_closing():
-            raise Break(ExchangeErrorCause.CLOSED, sent=False)
+            raise ExchangeError(ExchangeErrorCause.CLOSED, sent=False)
         self._parser = httptools.HttpResponseParser(self)
         if self._awaited_id is not None:
             self._earlier_id = self._awaited_id
@@ -245,25 +245,25 @@
         self._transport.write(data)
 
     async def head(self, timeout_ms: float) -> ResponseHead:
-        """The status and fields of the answer; Break when there is none in time."""
+        """The status and fields of the answer; ExchangeError when there is none in time."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 while self._head is None:
                     if self._lost is not None:
-                        raise Break(self._lost, sent=True)
+                        raise ExchangeError(self._lost, sent=True)
                     await self._wait()
         except TimeoutError:
-            raise Break(ExchangeErrorCause.SILENT, sent=True) from None
+            raise ExchangeError(ExchangeErrorCause.SILENT, sent=True) from None
         return self._head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """The next part of the body, None at its end; Break when it ends early or stalls."""
+        """The next part of the body, None at its end; ExchangeError if it ends early or stalls."""
         while not await self._has_chunks(timeout_ms):
             if self._whole:
                 return None
             # An endpoint that is not read from is not silent.
             if not self._held:
-                raise Break(ExchangeErrorCause.SILENT, sent=True)
+                raise ExchangeError(ExchangeErrorCause.SILENT, sent=True)
         data = b"".join(self._chunks)
         self._chunks.clear()
         self.buffered_bytes = 0
@@ -277,7 +277,7 @@
             async with asyncio.timeout(None if timeout_ms is None else timeout_ms / 1000):
                 while not self._chunks and not self._whole:
                     if self._lost is not None:
-                        raise Break(self._lost, sent=True)
+                        raise ExchangeError(self._lost, sent=True)
                     await self._wait()
         return bool(self._chunks)
 
--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection, Set
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
@@ -133,7 +133,7 @@
         request_id: str,
         reserved: bool = False,
     ) -> None:
-        """Raise Break right before a send, if its endpoint was blocked since it was chosen.
+        """Raise ExchangeError right before a send, if its endpoint was blocked since it was chosen.
 
         In between the node opens a connection, asks for a permit or has a prompt read.
         """
@@ -148,7 +148,7 @@
             block.for_ms,
             self._directory.revision,
         )
-        raise Break(ExchangeErrorCause.WITHHELD, sent=False)
+        raise ExchangeError(ExchangeErrorCause.WITHHELD, sent=False)
 
     def describe(self, instance: StartId) -> str:
         """The state that an endpoint advertises, for a log line."""
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import NoPermit
 from saffronworks.forwarding.generation_state import (
@@ -195,7 +195,7 @@
         self._leave_place()
         try:
             return await self._place.reserve(command)
-        except Break as broken:
+        except ExchangeError as broken:
             self._note_break(HOLD, command.endpoint, broken)
             return events.HoldFailed(command.endpoint.instance, broken=not broken.withheld)
 
@@ -216,7 +216,7 @@
         self._job.runs.begin_read()
         try:
             answer = await node.calls.prefill(endpoint, self._job.request, timeout_ms)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.take_back_read()
                 node.limits.release_permit(permit)
@@ -264,7 +264,7 @@
             head = await self._stream.head(max(1, left_ms))
             if head.success and head.signed:
                 await self._relay.await_first(self._stream, head.status)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.take_back_run()
             self._note_break("stream", endpoint, broken)
@@ -306,7 +306,7 @@
         assert self._stream is not None
         try:
             await self._relay.send_events(self._stream)
-        except Break as broken:
+        except ExchangeError as broken:
             return self._relay_broke(broken)
         return None
 
@@ -317,7 +317,7 @@
         body.attach(self._stream.exchange)
         try:
             await relay_rest(node, job, self._stream.exchange, body)
-        except Break as broken:
+        except ExchangeError as broken:
             return self._relay_broke(broken)
         finally:
             body.detach()
@@ -334,7 +334,7 @@
         )
         return None
 
-    def _relay_broke(self, broken: Break) -> events.RelayBroken:
+    def _relay_broke(self, broken: ExchangeError) -> events.RelayBroken:
         assert self._state.hold is not None
         endpoint = self._state.hold.endpoint
         self._note_break("stream", endpoint, broken)
@@ -351,7 +351,7 @@
         self._node.figures.count("cut", self._job.route.name, reason)
         self._job.reply.cut()
 
-    def _note_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
+    def _note_break(self, kind: str, endpoint: ServiceEndpoint, broken: ExchangeError) -> None:
         self._node.note_break(kind, self._job.request, endpoint, broken)
 
     def _leave_place(self) -> None:
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -6,7 +6,7 @@
 from result import Err, Result
 
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import Break
+from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import FREE, NoPermit
 from saffronworks.forwarding.loads import EndpointLoad
@@ -101,7 +101,7 @@
         return events.PlanSilent()
 
     async def reserve(self, command: events.AskHold) -> events.Event:
-        """Reserve memory at an endpoint; raises Break when it gives no answer."""
+        """Reserve memory at an endpoint; raises ExchangeError when it gives no answer."""
         endpoint, request_id = command.endpoint, self.job.request.request_id
         permit = await self.node.limits.acquire_permit(endpoint, request_id, PLACE_CALLS)
         if isinstance(permit, NoPermit):
@@ -109,7 +109,7 @@
             return events.HoldFailed(endpoint.instance, broken=False)
         try:
             hold = await self._take_beside_headroom(command, limited=permit is not FREE)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
             raise
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -3,7 +3,7 @@
 import logging
 
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import FREE, Permit
 from saffronworks.forwarding.messages import AnswerHead, Begin, Executed, Refuse
@@ -134,7 +134,7 @@
         node.begin_run(self._job)
         try:
             head = await self._exchange_with(endpoint, command.wait_ms)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.take_back_run()
                 self._release_permit()
@@ -194,7 +194,7 @@
                 await self._relay_events(StreamRun(self._exchange), body)
             elif not self._body_whole:
                 await relay_rest(node, job, self._exchange, body)
-        except Break as broken:
+        except ExchangeError as broken:
             node.note_break(PLAIN, job.request, self._endpoint, broken)
             logger.info(
                 "event=cut request=%s route=%s reason=answer-broke cause=%s",
@@ -224,7 +224,7 @@
         )
 
     async def _relay_events(self, run: StreamRun, body: AnswerBody) -> None:
-        """Pass whole events on; raises Break where a run ends early, inside an event too."""
+        """Pass whole events on; raises ExchangeError if a run ends early, inside an event too."""
         job, now_ms = self._job, self._node.now_ms
         while (mark := await run.next_events(max(1, job.deadline_at_ms - now_ms()))) is not None:
             await body.write(mark.data)
--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -110,17 +110,17 @@
         """Whether the answer tells its own end; else only a close does."""
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises Break."""
+        """The start of the answer; raises ExchangeError."""
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """A part of the body, None at its end; raises Break."""
+        """A part of the body, None at its end; raises ExchangeError."""
 
     def end(self) -> None:
         """Give the connection back, or close it when the answer is not whole."""
 
 
 class EndpointCalls(Protocol):
-    """Calls to endpoints. All raise Break when the exchange ended without an answer."""
+    """Calls to endpoints. All raise ExchangeError when the exchange ended without an answer."""
 
     async def send(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.messages import CallerRequest
 from saffronworks.forwarding.ports import EndpointCalls, ObjectSource
@@ -107,7 +107,11 @@
         self._take(events.TrialBegan(request.content))
 
     def note_break(
-        self, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break, waited_for: bool
+        self,
+        request: CallerRequest,
+        endpoint: ServiceEndpoint,
+        broken: ExchangeError,
+        waited_for: bool,
     ) -> None:
         """An endpoint that may have worked on a request gave no whole answer to it.
 
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from saffronworks.forwarding import role_core
-from saffronworks.forwarding.breaks import Break
+from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.ports import (
     Conflict,
@@ -121,7 +121,7 @@
             )
             accepted = isinstance(reply, Ok)
             reason = reply.err_value.reason if isinstance(reply, Err) else ""
-        except Break as broken:
+        except ExchangeError as broken:
             accepted = None if broken.sent else False
             reason = broken.cause.value
         logger.info(
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import Break
+from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.buffered_answers import AnswerBuffers, TrackedBody
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
@@ -84,7 +84,7 @@
             self.quotas.count_run(job.charge, job.runs.sends)
 
     def note_break(
-        self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break
+        self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: ExchangeError
     ) -> None:
         """Count and log a call that got no whole answer; `kind` names the call.
 
@@ -218,7 +218,7 @@
 
 
 async def relay_rest(node: NodeState, job: Job, exchange: Exchange, body: AnswerBody) -> None:
-    """Pass on what an endpoint still sends, to its good end; raises Break when it ends early."""
+    """Pass on what an endpoint still sends, to its good end; raises ExchangeError if cut off."""
     while True:
         left_ms = max(1, job.deadline_at_ms - node.now_ms())
         chunk = await exchange.next_chunk(left_ms)
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.buffered_answers import TrackedBody
 from saffronworks.forwarding.event_streams import EventSequence
 from saffronworks.forwarding.generation_state import GenerationState
@@ -41,7 +41,7 @@
         return self._sent.last_id
 
     async def await_first(self, run: StreamRun, status: int) -> None:
-        """Wait until a run has something to pass on; raises Break.
+        """Wait until a run has something to pass on; raises ExchangeError.
 
         A run that does not go on right after what the caller has, from us or from an answer before,
         counts as broken: sent on, it would give the caller text twice, or leave some out, in a
@@ -66,7 +66,7 @@
             follows,
         )
         if not follows:
-            raise Break(ExchangeErrorCause.OUT_OF_ORDER, sent=True)
+            raise ExchangeError(ExchangeErrorCause.OUT_OF_ORDER, sent=True)
 
     async def start(self, head: AnswerHead) -> None:
         """Send the head of the stream, without a length where another run may end it."""
@@ -78,7 +78,7 @@
         self._body = await start_answer(self._node, self._job, head)
 
     async def send_events(self, run: StreamRun) -> None:
-        """Send on the events of a run to its good end, and end the answer; raises Break."""
+        """Send on the events of a run to its good end, and end the answer; raises ExchangeError."""
         assert self._body is not None
         self._body.attach(run.exchange)
         try:
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -1,6 +1,6 @@
 """One endpoint's run of a stream, read event by event."""
 
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.messages import AnswerHead, EventMark
 from saffronworks.forwarding.ports import Exchange
@@ -21,11 +21,11 @@
         self._first: EventMark | None = None
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises Break."""
+        """The start of the answer; raises ExchangeError."""
         return await self.exchange.head(timeout_ms)
 
     async def read_first(self, timeout_ms: float) -> EventMark | None:
-        """Wait for events to pass on, so that an early break can be mended; raises Break.
+        """Wait for events to pass on, so that an early break can be mended; raises ExchangeError.
 
         They stay the next ones. A whole answer may have none.
         """
@@ -42,7 +42,7 @@
         return self.exchange.framed and not self.remainder()
 
     async def next_events(self, timeout_ms: float) -> EventMark | None:
-        """The next whole events, None at a good end; raises Break."""
+        """The next whole events, None at a good end; raises ExchangeError."""
         if self._first is not None:
             first, self._first = self._first, None
             return first
@@ -54,7 +54,7 @@
             if mark is not None:
                 return mark
         if self._splitter.remainder() and not self.exchange.framed:
-            raise Break(ExchangeErrorCause.CLOSED, sent=True)
+            raise ExchangeError(ExchangeErrorCause.CLOSED, sent=True)
         return None
 
     def remainder(self) -> bytes:
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -8,7 +8,7 @@
 
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import Break
+from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.connections import EndpointConnection, ResponseHead
 from saffronworks.forwarding.directory import ServiceEndpoint
@@ -114,7 +114,7 @@
         return self.connection.framed
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises Break."""
+        """The start of the answer; raises ExchangeError."""
         raw = await self.connection.head(timeout_ms)
         advertisement = self._answers.read(self._endpoint, raw, self._sent_ms)
         head = _decode_head(raw)
@@ -123,7 +123,7 @@
         return head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """A part of the body, None at its end; raises Break."""
+        """A part of the body, None at its end; raises ExchangeError."""
         return await self.connection.next_chunk(timeout_ms)
 
     def end(self) -> None:
@@ -247,11 +247,11 @@
         reserved: bool = False,
         control_call: bool = False,
     ) -> EndpointConnection:
-        """A connection for a request, if the endpoint still wants it; raises Break."""
+        """A connection for a request, if the endpoint still wants it; raises ExchangeError."""
         connection = await self.pool.acquire(endpoint, control_call)
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
-        except Break:
+        except ExchangeError:
             self.pool.release(endpoint, connection)
             raise
         return connection
@@ -259,7 +259,7 @@
     async def _drop(self, endpoint: ServiceEndpoint, path: str) -> None:
         try:
             status, _ = await self._ask(endpoint, "DELETE", path, None)
-        except Break as broken:
+        except ExchangeError as broken:
             logger.info(
                 "event=drop_failed endpoint=%s path=%s cause=%s",
                 endpoint.instance,
@@ -277,7 +277,7 @@
         body: object,
         request: CallerRequest | None = None,
     ) -> tuple[int, bytes]:
-        """A small call to the server itself; raises Break.
+        """A small call to the server itself; raises ExchangeError.
 
         One without a `request` frees what the server holds, or orders its role.
         """
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -5,7 +5,7 @@
 import anyio
 from behave import then, when
 
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.tuning import MOST_BUFFERED_BYTES
 from saffronworks.tests.connection_fakes import connect, receive
@@ -107,7 +107,7 @@
         connection.set_reading_paused(False)
         try:
             await connection.next_chunk(timeout_ms=10)
-        except Break as broken:
+        except ExchangeError as broken:
             assert broken.cause is ExchangeErrorCause.SILENT
         else:
             raise AssertionError("no break")
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -8,7 +8,7 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
@@ -227,7 +227,7 @@
             ):
                 try:
                     await attempt
-                except Break as broken:
+                except ExchangeError as broken:
                     assert broken.withheld and not broken.sent and not broken.unreachable
                 else:
                     raise AssertionError("it was sent")
@@ -250,7 +250,7 @@
     assert isinstance(read, ReadPrompt)
     again = generation_core.step(state, StreamWithheld("d0"), pools, budget, 2)
     assert isinstance(again, AskPlanner) and "d0" in again.avoid and not again.broken
-    assert not state.runs and Break(ExchangeErrorCause.WITHHELD, sent=False).withheld
+    assert not state.runs and ExchangeError(ExchangeErrorCause.WITHHELD, sent=False).withheld
 
 
 BLOCKS = st.dictionaries(
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_runner import run_generation
 from saffronworks.forwarding.identity import Authenticator
@@ -48,7 +48,7 @@
     calls = Mock()
     calls.take_hold = AsyncMock(side_effect=holds)
     calls.prefill = AsyncMock(return_value=Ok(KvHandle(reader, "h", 3000)))
-    calls.open_stream = AsyncMock(side_effect=Break(ExchangeErrorCause.CONNECT, sent=False))
+    calls.open_stream = AsyncMock(side_effect=ExchangeError(ExchangeErrorCause.CONNECT, sent=False))
     budget, quarantine = wide_budget(), Mock(blocks=lambda *_: False)
     loads, idle = LoadTable("z"), Mock()
     whose, quotas = Authenticator(lambda: True), Mock()
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -8,7 +8,7 @@
 import anyio
 from behave import given, then, when
 
-from saffronworks.forwarding.breaks import Break
+from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
 from saffronworks.forwarding.generation_state import Out
@@ -169,7 +169,7 @@
     async def play():
         try:
             await context.relay.await_first(StreamRun(AnewExchange()), 200)
-        except Break:
+        except ExchangeError:
             now_ms[0] += 1
             return
         raise AssertionError("a run that starts anew is sent on")
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -10,7 +10,7 @@
 
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, ExchangeErrorCause
+from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.generation_core import step as generation_step
 from saffronworks.forwarding.generation_state import Out
@@ -182,7 +182,9 @@
             Mock(),
             Mock(),
         )
-        node.note_break(kind, request, endpoint_at(1), Break(ExchangeErrorCause.RESET, sent))
+        node.note_break(
+            kind, request, endpoint_at(1), ExchangeError(ExchangeErrorCause.RESET, sent)
+        )
         assert node.quarantine.note_break.called is noted, (kind, sent)
 
 
