--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -5,9 +5,9 @@
 from collections import deque
 
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connections import EndpointConnection
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     CONNECT_TIMEOUT_MS,
--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -16,7 +16,7 @@
 from result import Ok
 
 from saffronworks.field_numbers import read_whole
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.tuning import (
     KEEP_ALIVE_DEFAULT_MS,
     KEEP_ALIVE_SHARE,
--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable, Collection, Set
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
 from saffronworks.forwarding.eligibility.table import Pause
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["EndpointEligibility"]
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -7,9 +7,9 @@
 
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import NoPermit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_state import (
     GenerationState,
     Pools,
--- a/saffronworks/forwarding/places.py
+++ b/saffronworks/forwarding/places.py
@@ -6,9 +6,9 @@
 from result import Err, Result
 
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import FREE, NoPermit
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.loads import EndpointLoad
 from saffronworks.forwarding.messages import KvHold, NotExecuted
 from saffronworks.forwarding.planning.client import RunOwner, RunSize
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -3,9 +3,9 @@
 import logging
 
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import FREE, Permit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.messages import AnswerHead, Begin, Executed, Refuse
 from saffronworks.forwarding.plain_core import (
     AcquirePermit,
--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.neighbours import Neighbours
 from saffronworks.forwarding.quarantine.events import (
     Command,
--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.quarantine.messages import Suspicion, SuspicionNews
 from saffronworks.forwarding.starts import StartId
 
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -8,8 +8,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.messages import CallerRequest
 from saffronworks.forwarding.ports import EndpointCalls, ObjectSource
 from saffronworks.forwarding.quarantine import events
--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -8,8 +8,8 @@
 from result import Err, Ok, Result
 
 from saffronworks.forwarding import role_core
-from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.ports import (
     Conflict,
     EndpointCalls,
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -5,11 +5,11 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.buffered_answers import AnswerBuffers, TrackedBody
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.figures import Figures
 from saffronworks.forwarding.identity import KEY_REVOKED, Authenticator
 from saffronworks.forwarding.loads import LoadTable
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.buffered_answers import TrackedBody
 from saffronworks.forwarding.event_streams import EventSequence
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_state import GenerationState
 from saffronworks.forwarding.messages import AnswerHead, EventMark
 from saffronworks.forwarding.places import StreamPace
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -1,7 +1,7 @@
 """One endpoint's run of a stream, read event by event."""
 
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.messages import AnswerHead, EventMark
 from saffronworks.forwarding.ports import Exchange
 
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -8,12 +8,12 @@
 
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.connections import EndpointConnection, ResponseHead
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.messages import (
     AnswerHead,
     CallerRequest,
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -5,8 +5,8 @@
 import anyio
 from behave import then, when
 
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.tuning import MOST_BUFFERED_BYTES
 from saffronworks.tests.connection_fakes import connect, receive
 from saffronworks.tests.endpoint_plays import endpoints
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -8,7 +8,6 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
@@ -16,6 +15,7 @@
 from saffronworks.forwarding.eligibility.service import PAUSE_GRACE_MS
 from saffronworks.forwarding.eligibility.table import KEEP_GONE_MS, AdvertisedTable
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_events import (
     AskHold,
     AskPlanner,
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -7,8 +7,8 @@
 from result import Err, Ok
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_runner import run_generation
 from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -7,7 +7,6 @@
 from hypothesis import strategies as st
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.directory import (
     OBSOLETE_START_TTL_MS,
@@ -15,6 +14,7 @@
     EntryUpdate,
     ServiceEndpoint,
 )
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.figures import Figures
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.planning import messages
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -8,8 +8,8 @@
 import anyio
 from behave import given, then, when
 
-from saffronworks.forwarding.breaks import ExchangeError
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
 from saffronworks.forwarding.generation_state import Out
 from saffronworks.forwarding.messages import CallerRequest, KvHold, Refuse
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -10,8 +10,8 @@
 
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_core import step as generation_step
 from saffronworks.forwarding.generation_state import Out
 from saffronworks.forwarding.identity import Authenticator
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import ExchangeErrorCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
 from saffronworks.forwarding.quarantine.events import Found
