--- a/saffronworks/forwarding/event_streams.py
+++ b/saffronworks/forwarding/event_streams.py
@@ -53,7 +53,7 @@
             return False
         return ids[0] == self.last_id + 1 if self._by_one else ids[0] > self.last_id
 
-    def note(self, ids: tuple[int, ...]) -> None:
+    def record(self, ids: tuple[int, ...]) -> None:
         """These events went out."""
         for event_id in ids:
             if self.last_id is not None:
--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -94,7 +94,7 @@
         self._log_end(run)
 
     def _note(self, ids: tuple[int, ...]) -> None:
-        self._sent.note(ids)
+        self._sent.record(ids)
         if ids:
             made_tokens = ids[-1] * self._tokens_per_event
             self._node.memory.progress(self._job.request.request_id, made_tokens)
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -107,7 +107,7 @@
 def sequences(context):
     def following(*sent):
         sequence = EventSequence()
-        sequence.note(sent)
+        sequence.record(sent)
         return [first for first in range(12) if sequence.continues((first,))]
 
     assert following(1, 2, 3) == [4] and following(7, 8) == [9]
@@ -115,7 +115,7 @@
     assert following(9) == [10, 11], "one id alone doesn't tell that they count"
     assert following() == [], "what went out is not known"
     sequence = EventSequence()
-    sequence.note((1, 2))
+    sequence.record((1, 2))
     assert not sequence.continues(()), "a run whose events have no id may be any run"
 
 
