--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -56,16 +56,16 @@
             self._pace_from = (first.ids[-1], self._node.now_ms())
 
     def _require_follows(self, run: StreamRun, first: EventMark | None, status: int) -> None:
-        follows = self._status in (None, status) and run.follows(self._sent)
+        resumes_after = self._status in (None, status) and run.resumes_after(self._sent)
         logger.info(
             "event=stream_continues request=%s after_event=%s first_event=%s framed=%s follows=%s",
             self._job.request.request_id,
             self.last_event,
             first.ids[0] if first is not None and first.ids else None,
             run.exchange.framed,
-            follows,
+            resumes_after,
         )
-        if not follows:
+        if not resumes_after:
             raise ExchangeError(ExchangeErrorCause.OUT_OF_ORDER, sent=True)
 
     async def start(self, head: AnswerHead) -> None:
--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -32,7 +32,7 @@
         self._first = await self._next(timeout_ms)
         return self._first
 
-    def follows(self, sent: EventSequence) -> bool:
+    def resumes_after(self, sent: EventSequence) -> bool:
         """Whether this run, whose first events are at hand, goes on right after what was sent.
 
         One without events does where its endpoint told its end: then all was sent before.
