--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -7,7 +7,7 @@
 
 from saffronworks.forwarding.answer_buffers import BufferBound, BufferedAnswer
 from saffronworks.forwarding.connections import EndpointConnection
-from saffronworks.forwarding.figures import Figures, Level
+from saffronworks.forwarding.figures import Level, MetricsRecorder
 from saffronworks.forwarding.ports import AnswerBody, CallerReply, Exchange
 from saffronworks.forwarding.tuning import (
     BUFFER_CHECK_INTERVAL_MS,
@@ -135,7 +135,7 @@
     """
 
     def __init__(
-        self, bound_bytes: int | None, figures: Figures, now_ms: Callable[[], int]
+        self, bound_bytes: int | None, figures: MetricsRecorder, now_ms: Callable[[], int]
     ) -> None:
         self.total_bytes = 0
         self._bound = None if bound_bytes is None else BufferBound(bound_bytes, ENDPOINT_READ_BYTES)
--- a/saffronworks/forwarding/figures.py
+++ b/saffronworks/forwarding/figures.py
@@ -11,7 +11,7 @@
 
 from saffronworks.forwarding.planning.share_counts import OTHERS, ShareRow
 
-__all__ = ["Figures", "Labels", "Level", "Sample"]
+__all__ = ["MetricsRecorder", "Labels", "Level", "Sample"]
 
 # Times between two questions that the histograms show, the newest ones: a busy node's answers of a
 # minute. Counts are never left out.
@@ -41,7 +41,7 @@
     labels: dict[str, str]
 
 
-class Figures:
+class MetricsRecorder:
     """What a node counted; each sample carries the node's name."""
 
     def __init__(self, node: str):
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -9,7 +9,7 @@
 
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding.directory import Directory
-from saffronworks.forwarding.figures import Figures, Level
+from saffronworks.forwarding.figures import Level, MetricsRecorder
 from saffronworks.forwarding.planning import core
 from saffronworks.forwarding.planning.core import PlanState, Reply, Tick
 from saffronworks.forwarding.planning.messages import (
@@ -48,7 +48,7 @@
         table: Callable[[], RoutingTable | None],
         nodes: Callable[[], Collection[str]],
         own_address: str,
-        figures: Figures,
+        figures: MetricsRecorder,
     ):
         self.plans: dict[str, PlanState] = {}
         self._directory = directory
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -10,7 +10,7 @@
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
 from saffronworks.forwarding.exchange_errors import ExchangeError
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.identity import KEY_REVOKED, Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import ENDS_ENDPOINTS, AnswerHead, CallerRequest, Refuse
@@ -54,7 +54,7 @@
     loads: LoadTable
     budget: RetryBudget
     calls: EndpointCalls
-    figures: Figures
+    figures: MetricsRecorder
     now_ms: Callable[[], int]
     spawn: Callable[..., None]
     memory: MemoryClient
--- a/saffronworks/metrics.py
+++ b/saffronworks/metrics.py
@@ -7,7 +7,7 @@
 from opentelemetry.sdk.metrics import MeterProvider
 from prometheus_client import REGISTRY, generate_latest
 
-from saffronworks.forwarding.figures import Figures, Labels
+from saffronworks.forwarding.figures import Labels, MetricsRecorder
 
 __all__ = ["ForwardingMetrics", "Metrics", "find_meter", "scrape_page"]
 
@@ -81,7 +81,7 @@
 class ForwardingMetrics:
     """The instruments over the figures of forwarding."""
 
-    def __init__(self, figures: Figures):
+    def __init__(self, figures: MetricsRecorder):
         self._figures = figures
         meter = find_meter()
         for name in (*_COUNTERS, *_SHARE_COUNTERS):
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -18,7 +18,7 @@
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits import messages as limit_messages
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.followers import Follower
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.identity import Authenticator
@@ -157,7 +157,7 @@
         budget = RetryBudget(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_ms, UNCOUNTED_NODES
         )
-        figures = Figures(settings.node)
+        figures = MetricsRecorder(settings.node)
         return NodeState(
             zone=settings.zone,
             directory=self._directory,
--- a/saffronworks/platform/scrapes.py
+++ b/saffronworks/platform/scrapes.py
@@ -6,7 +6,7 @@
 
 import anyio.to_thread
 
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 
 __all__ = ["MetricsPage"]
 
@@ -16,7 +16,7 @@
 class MetricsPage:
     """Renders the figures; loading goes on in a thread, so that requests are served meanwhile."""
 
-    def __init__(self, figures: Figures):
+    def __init__(self, figures: MetricsRecorder):
         self._figures = figures
         self._loading = anyio.Lock()
         self._metrics: Any = None
--- a/saffronworks/tests/features/steps/fair_shares_steps.py
+++ b/saffronworks/tests/features/steps/fair_shares_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from saffronworks.explain import read_stories
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.fair_shares import MOST_CLAIMANTS, FairShares
 from saffronworks.forwarding.planning.runs import Run
@@ -295,7 +295,7 @@
 
 @then("its log lines and metrics are bounded")
 def bounded_output(context):
-    planner = MemoryPlanner(SimpleNamespace(revision=0), None, None, "n", Figures("n"))
+    planner = MemoryPlanner(SimpleNamespace(revision=0), None, None, "n", MetricsRecorder("n"))
     plan = core.PlanState(0, 1, 1, "s", shares=context.shares, waiters=context.waiters)
     with LogLines("saffronworks.forwarding.planning.service") as texts:
         planner._report_shares(plan, 10_000)
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -9,7 +9,7 @@
 from saffronworks.clocks import monotonic_ms
 from saffronworks.forwarding.choices import NodeChoice
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.client import MemoryClient, RunSize
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -54,7 +54,7 @@
     kernel, peers = Kernel(address, monotonic_ms), PeerService(address, Codec(messages))
     client = MemoryClient(address, monotonic_ms() - age_ms)
     planner = MemoryPlanner(
-        directory, lambda: table, lambda: client.choice.cores, address, Figures(address)
+        directory, lambda: table, lambda: client.choice.cores, address, MetricsRecorder(address)
     )
     kernel.register(peers)
     kernel.register(planner, messages.MemoryAsk, messages.MemoryRelease, messages.MemoryReport)
--- a/saffronworks/tests/features/steps/priorities_steps.py
+++ b/saffronworks/tests/features/steps/priorities_steps.py
@@ -10,7 +10,7 @@
 from memory_steps import START_MS, ask, granted, refused, warm_plan
 
 from saffronworks.forwarding.directory import Directory
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.ask_rates import AskRates
 from saffronworks.forwarding.planning.order import Waiter, WaiterOrder
@@ -384,7 +384,7 @@
 
 @given("a planner that serves an urgent caller and rejects one of the bulk")
 def planner_of_both(context):
-    context.figures = Figures("n")
+    context.figures = MetricsRecorder("n")
     planner = MemoryPlanner(Directory(), lambda: None, lambda: (), "n1", context.figures)
     plan, decoders = plan_with_room([4000, 20_000, 4000, 4000])
     plan.service, planner.plans = "s", {"s": plan}
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from memory_steps import START_MS, ask, warm_plan
 
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.runs import projected_peak
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -229,7 +229,7 @@
 
 @then("few log lines a second tell of it, with a count and a sample each")
 def few_lines(context):
-    plan, figures = warm_plan(), Figures("n")
+    plan, figures = warm_plan(), MetricsRecorder("n")
     planner = MemoryPlanner(Mock(), Mock(), Mock(), "n", figures)
     for index in range(60):
         for turn in range(20):
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -15,7 +15,7 @@
     ServiceEndpoint,
 )
 from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.plans import PlanState
@@ -273,7 +273,9 @@
 
 
 def planner_of(directory):
-    planner = MemoryPlanner(directory, lambda: None, lambda: (), "127.0.0.1:9", Figures("n"))
+    planner = MemoryPlanner(
+        directory, lambda: None, lambda: (), "127.0.0.1:9", MetricsRecorder("n")
+    )
     planner.plans["s"] = PlanState(0, 90_000, 8)
     return planner, planner.plans["s"]
 
