--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that the store lists: who may get work, by service and role."""
+"""The endpoints that the store lists, and which of them may receive work."""
 
 import enum
 
@@ -12,19 +12,19 @@
 
 __all__ = ["Directory", "EntryUpdate", "ServiceEndpoint"]
 
-# How long a start that is over is remembered, so that it does not come back by a stale listing or a
-# watch that was rewound: the store's answers may be seconds old, its history spans 20 s.
+# How long an ended start is remembered, so that a stale listing or a rewound watch does not restore
+# it: the store's answers may be seconds old, and its history spans 20 s.
 OBSOLETE_START_TTL_MS = 60_000
-# How long an entry that only a restored copy has is left unused: the store drops entries that their
-# endpoints do not write after three heartbeats, and all others are written within two seconds.
+# How long an entry that only a restored copy contains is withheld. By then its endpoint has written
+# it again (within 2 s), or the store has dropped it after three missed heartbeats.
 WITHHOLD_RESTORED_MS = 6000
 
 
 @attrs.frozen
 class ServiceEndpoint:
-    """One start of one endpoint; `instance` tells it from other starts under the same name.
+    """One start of an endpoint; `instance` distinguishes it from other starts of the same name.
 
-    `born_ms` is the Unix time of the start, None where the endpoint does not tell it.
+    `born_ms` is the Unix time of the start, None if the endpoint does not report it.
     """
 
     name: str
@@ -42,25 +42,25 @@
 
 
 class EntryUpdate(enum.Enum):
-    """What an entry brought."""
+    """Effect of an entry on the directory."""
 
     UNCHANGED = "same"
     CHANGED = "changed"
     # A later start under a known name.
     RESTARTED = "restarted"
-    # An earlier start than the one known, or one at whose address another endpoint answered.
+    # An earlier start than the known one, or one at whose address another endpoint has answered.
     OBSOLETE = "over"
-    # An entry that had gone, from the copy that the store was restored from.
+    # An entry that had been removed and came back with the copy the store was restored from.
     WITHHELD = "withheld"
 
 
 @attrs.define
-class _Past:
-    """What is over under one name: all starts before `born_ms`, and that one at `lost_address`."""
+class _EndedStarts:
+    """The ended starts of one name: all before `born_ms`, and any at `lost_address`."""
 
     born_ms: int | None
     lost_address: str | None = None
-    forget_at_ms: int | None = None
+    expires_at_ms: int | None = None
 
     def covers(self, endpoint: ServiceEndpoint) -> bool:
         if is_later(endpoint.born_ms, self.born_ms):
@@ -71,14 +71,14 @@
 
 @attrs.define
 class Directory:
-    """What is known of all endpoints, and at which revision of the store.
-
-    Entries may lapse while the store is away although their endpoints live. An entry that is
-    missing right after the store's return therefore stays usable for a grace period. Of each name
-    the latest start alone is kept. Where two names have one address, the endpoint's own answer
-    settles which of them it has (`note_replaced`): a time in an entry may come from anyone.
-    An endpoint that advertises that it drains does, whatever its entry says: the store may be away.
-    A restored copy of the store takes back neither drains nor removals.
+    """All known endpoints, and the store revision of this state.
+
+    During a store outage entries may expire although their endpoints are alive, so an entry that is
+    missing right after the outage stays usable for a grace period. Only the latest start of each
+    name is kept. If two names share an address, the endpoint's own answer decides which of them is
+    current (`mark_replaced`), because anyone may have written the start time of an entry.
+    An endpoint that advertises a drain is draining whatever its entry says, because the store may
+    be unavailable. A restored copy of the store reverts neither drains nor removals.
     """
 
     revision: StoreRevision = StoreRevision(0, 0)
@@ -86,7 +86,7 @@
     advertised: AdvertisedTable = attrs.Factory(AdvertisedTable)
     _usable_until_ms: dict[StartId, int] = attrs.Factory(dict)
     _by_name: dict[str, StartId] = attrs.Factory(dict)
-    _past: dict[str, _Past] = attrs.Factory(dict)
+    _ended_starts: dict[str, _EndedStarts] = attrs.Factory(dict)
     _revisions: dict[str, StoreRevision] = attrs.Factory(dict)
     _removed: RemovedEntries = attrs.Factory(RemovedEntries)
     _withheld: dict[str, tuple[ServiceEndpoint, int]] = attrs.Factory(dict)
@@ -99,7 +99,7 @@
         now_ms: int,
         lapse_until_ms: int = 0,
     ) -> list[str]:
-        """Take a whole listing; returns the names that are missing from it."""
+        """Apply a complete listing; returns the names that are missing from it."""
         for endpoint in listed:
             self.put(endpoint)
         names = {endpoint.name for endpoint in listed}
@@ -108,7 +108,7 @@
     def remove_missing(
         self, names: set[str], revision: StoreRevision, now_ms: int, lapse_until_ms: int = 0
     ) -> list[str]:
-        """Remove all but those that a whole listing has; returns the names that went."""
+        """Remove entries that a complete listing lacks; returns the names removed."""
         self.revision = revision
         self._withheld = {name: held for name, held in self._withheld.items() if name in names}
         missing = [name for name in self._by_name if name not in names]
@@ -119,7 +119,7 @@
     def put_listed(
         self, endpoint: ServiceEndpoint, revision: StoreRevision, now_ms: int
     ) -> EntryUpdate:
-        """Take an entry of the store, which wrote it at that revision."""
+        """Apply an entry that the store wrote at `revision`."""
         name = endpoint.name
         known, last = self.named(name), self._revisions.get(name)
         if known is None and self._removed.is_restored(name, revision, now_ms):
@@ -135,12 +135,12 @@
         return self.put(endpoint)
 
     def put(self, endpoint: ServiceEndpoint) -> EntryUpdate:
-        """Take an entry, unless a later start is known, or its address was lost."""
-        known, past = self.named(endpoint.name), self._past.get(endpoint.name)
-        last = known or past
+        """Apply an entry, unless a later start is known or the start has lost its address."""
+        known, ended_starts = self.named(endpoint.name), self._ended_starts.get(endpoint.name)
+        last = known or ended_starts
         if last is not None and endpoint.born_ms is None:
             endpoint = attrs.evolve(endpoint, born_ms=last.born_ms)
-        if past is not None and past.covers(endpoint):
+        if ended_starts is not None and ended_starts.covers(endpoint):
             return EntryUpdate.OBSOLETE
         if known is not None and is_later(known.born_ms, endpoint.born_ms):
             return EntryUpdate.OBSOLETE
@@ -150,7 +150,7 @@
         before = self._last_start(endpoint.name)
         if known is not None:
             self._drop(known)
-        self._past.pop(endpoint.name, None)
+        self._ended_starts.pop(endpoint.name, None)
         self.endpoints[endpoint.instance] = endpoint
         self._by_name[endpoint.name] = endpoint.instance
         if before is None or before == endpoint.instance:
@@ -159,8 +159,8 @@
         return EntryUpdate.RESTARTED
 
     def _last_start(self, name: str) -> StartId | None:
-        past = self._past.get(name)
-        gone = start_id(name, past.born_ms) if past is not None else None
+        ended_starts = self._ended_starts.get(name)
+        gone = start_id(name, ended_starts.born_ms) if ended_starts is not None else None
         return self._by_name.get(name, gone)
 
     def _drop(self, endpoint: ServiceEndpoint) -> None:
@@ -169,10 +169,10 @@
         self._usable_until_ms.pop(endpoint.instance, None)
 
     def remove(self, name: str, now_ms: int, lapse_until_ms: int = 0) -> None:
-        """An entry is gone; until `lapse_until_ms` the store's own outage may be the cause."""
-        past = self._past.get(name)
-        if past is not None and past.forget_at_ms is None:
-            past.forget_at_ms = now_ms + OBSOLETE_START_TTL_MS
+        """Remove an entry; until `lapse_until_ms` an outage of the store may be the cause."""
+        ended_starts = self._ended_starts.get(name)
+        if ended_starts is not None and ended_starts.expires_at_ms is None:
+            ended_starts.expires_at_ms = now_ms + OBSOLETE_START_TTL_MS
         self._withheld.pop(name, None)
         known, revision = self.named(name), self._revisions.pop(name, None)
         if known is None:
@@ -182,60 +182,62 @@
         if now_ms < lapse_until_ms and not known.draining:
             self._usable_until_ms.setdefault(known.instance, lapse_until_ms)
             return
-        self._leave(known, now_ms)
+        self._retire(known, now_ms)
 
-    def _leave(self, endpoint: ServiceEndpoint, now_ms: int) -> None:
+    def _retire(self, endpoint: ServiceEndpoint, now_ms: int) -> None:
         self._drop(endpoint)
-        self._forget_past(now_ms)
+        self._prune_ended_starts(now_ms)
         if endpoint.born_ms is not None:
-            forget_at_ms = now_ms + OBSOLETE_START_TTL_MS
-            self._past[endpoint.name] = _Past(endpoint.born_ms, forget_at_ms=forget_at_ms)
+            expires_at_ms = now_ms + OBSOLETE_START_TTL_MS
+            self._ended_starts[endpoint.name] = _EndedStarts(
+                endpoint.born_ms, expires_at_ms=expires_at_ms
+            )
 
-    def _forget_past(self, now_ms: int) -> None:
-        for name, past in list(self._past.items()):
-            if past.forget_at_ms is not None and now_ms >= past.forget_at_ms:
-                del self._past[name]
+    def _prune_ended_starts(self, now_ms: int) -> None:
+        for name, ended_starts in list(self._ended_starts.items()):
+            if ended_starts.expires_at_ms is not None and now_ms >= ended_starts.expires_at_ms:
+                del self._ended_starts[name]
 
     def mark_replaced(self, instance: StartId) -> None:
-        """Another endpoint answered at its address: there, this start of it is over for good."""
+        """Remove a start because another endpoint has answered at its address."""
         known = self.endpoints.get(instance)
         if known is not None:
             self._drop(known)
-            self._past[known.name] = _Past(known.born_ms, known.address)
+            self._ended_starts[known.name] = _EndedStarts(known.born_ms, known.address)
 
     def take_ended(self) -> list[StartId]:
-        """The starts that a later one under their name has ended; each is told once."""
+        """Return the starts that a later one replaced since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
     def named(self, name: str) -> ServiceEndpoint | None:
-        """The latest start of an endpoint."""
+        """Return the latest start of an endpoint."""
         instance = self._by_name.get(name)
         return self.endpoints[instance] if instance is not None else None
 
     def resolve(self, instance: StartId) -> StartId:
-        """The start that a message means: nodes of an earlier version name endpoints alone."""
+        """Return the start that a message refers to; nodes of older versions send only the name."""
         return instance if instance in self.endpoints else self._by_name.get(instance, instance)
 
     def expire(self, now_ms: int) -> None:
-        """Forget the entries whose grace period is over, and take those withheld for long."""
+        """Remove entries whose grace period has ended, and apply those withheld long enough."""
         for name, (endpoint, until_ms) in list(self._withheld.items()):
             if now_ms >= until_ms:
                 del self._withheld[name]
                 self.put(endpoint)
         for instance, until_ms in list(self._usable_until_ms.items()):
             if now_ms >= until_ms:
-                self._leave(self.endpoints[instance], now_ms)
+                self._retire(self.endpoints[instance], now_ms)
 
     def usable(self, service: str, now_ms: int, role: Role | None = None) -> list[ServiceEndpoint]:
-        """The endpoints of a service that may get new work, of one role if given."""
+        """Return the endpoints of a service that may receive new work, of one role if given."""
         listed, draining = self._listed_ready(service, now_ms, role), self.advertised.draining()
         return [one for one in listed if one.instance not in draining] if draining else listed
 
     def draining_since(
         self, service: str, now_ms: int, role: Role | None, since_ms: int
     ) -> list[ServiceEndpoint]:
-        """Those that the store lists as ready and that advertise a drain since then or later."""
+        """Return endpoints listed as ready that advertise a drain begun at `since_ms` or later."""
         advertised = self.advertised
         return [
             endpoint
