--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -1,4 +1,4 @@
-"""Follows one kind of object in the store: a listing, then watches."""
+"""Follows one kind of object in the store by a listing and then watches."""
 
 import logging
 import random
@@ -26,25 +26,25 @@
 
 
 class ObjectSink(Protocol):
-    """Receives the objects of a kind.
+    """Receives the objects of one kind.
 
-    An outage may have removed objects that are still valid: they may be used until
-    `lapse_until_ms`, which may be in the past.
+    Objects that expired because of a store outage may be used until `lapse_until_ms`, which may be
+    in the past.
     """
 
     def replace_all(self, listing: Listing, lapse_until_ms: int) -> None:
-        """A whole listing."""
+        """Replace all objects by a complete listing."""
 
     def apply(self, changes: Listing, lapse_until_ms: int) -> None:
-        """Changes since the last listing."""
+        """Apply the changes since the last call."""
 
 
 class Follower:
     """Keeps a sink up to date, with jittered exponential backoff after failures.
 
     An outage is assumed to begin with the last answer, or when an open connection was cut. It may
-    be over as soon as the last failed call was sent: `known_within_ms` after that the node has to
-    follow the store, so the grace for lapsed entries never lasts longer.
+    end as early as the sending of the last failed call. The node must be up to date
+    `known_within_ms` after that, so the grace period of expired entries ends by then.
 
     A store restored from a copy reissues revisions: changes since a revision of an earlier epoch
     are incomplete, so the kind is listed again.
@@ -64,8 +64,8 @@
     ):
         self.kind = kind
         self._news = news
-        self._fresh_until_ms = 0
-        self._stale = anyio.Event()
+        self._peers_fresh_until_ms = 0
+        self._peers_stale = anyio.Event()
         if news is not None:
             news.subscribe(kind, self.handle_news)
         self._watch_wait_ms = watch_wait_ms
@@ -76,16 +76,16 @@
         self._rng = rng
         self._now_ms = now_ms
         self._revision: StoreRevision | None = None
-        self._lists_next = True
+        self._needs_listing = True
         self._watching: anyio.CancelScope | None = None
         epoch.subscribe(self._end_watch)
         self._failures = 0
         self._histories_gone = 0
-        self._answered_ms = now_ms()
-        self._known_ms = self._answered_ms
-        self._lost_ms = self._answered_ms
-        self._asked_ms = self._answered_ms
-        self._trouble_ms = self._answered_ms
+        self._last_answer_ms = now_ms()
+        self._up_to_date_ms = self._last_answer_ms
+        self._outage_began_ms = self._last_answer_ms
+        self._sent_ms = self._last_answer_ms
+        self._last_failure_ms = self._last_answer_ms
         self._lapse_until_ms = 0
 
     async def run(self) -> None:
@@ -93,47 +93,47 @@
         while True:
             if self._follows_peers():
                 await self._wait_for_peers()
-            elif self._lists_next or self._revision is None:
+            elif self._needs_listing or self._revision is None:
                 await self._list()
             else:
                 await self._watch(self._revision)
-            # A single lost history is settled by a listing, without a pause.
-            troubles = max(self._failures, self._histories_gone - 1)
-            if troubles:
-                await anyio.sleep(self._backoff_ms(troubles) / 1000)
+            # After a single lost history a listing suffices, without a delay.
+            failures = max(self._failures, self._histories_gone - 1)
+            if failures:
+                await anyio.sleep(self._backoff_ms(failures) / 1000)
 
     def _follows_peers(self) -> bool:
-        """Whether publishers of the zone watch the store, and one has published recently."""
+        """Return whether other nodes of the zone watch the store and have published recently."""
         if self._news is None or not self._news.shared or self._news.is_publisher(self.kind):
             return False
-        return not self._lists_next and self._now_ms() < self._fresh_until_ms
+        return not self._needs_listing and self._now_ms() < self._peers_fresh_until_ms
 
     async def _wait_for_peers(self) -> None:
-        """Wait until publishers time out, or an update is incomplete."""
-        self._stale = anyio.Event()
-        with anyio.move_on_after((self._fresh_until_ms - self._now_ms()) / 1000):
-            await self._stale.wait()
+        """Wait until publishers are silent for too long, or an update is incomplete."""
+        self._peers_stale = anyio.Event()
+        with anyio.move_on_after((self._peers_fresh_until_ms - self._now_ms()) / 1000):
+            await self._peers_stale.wait()
 
     def age_ms(self) -> int:
-        """Time since the known state was current, by an answer of the store or a peer's update."""
-        return self._now_ms() - self._known_ms
+        """Return the time since the last answer of the store or complete update from a peer."""
+        return self._now_ms() - self._up_to_date_ms
 
     def handle_news(self, news: StoreNews) -> None:
-        """Apply a peer's update; complete ones also serve a node that is cut off from the store."""
+        """Apply an update from a peer; a complete one also serves a node without a store answer."""
         if self._revision is None and news.whole and news.objects is not None:
             self._revision, self.listed = StoreRevision(0, 0), True
         if self._revision is None or news.at < self._revision:
             return
         if news.at > self._revision and not self._apply_news(news, self._revision):
-            self._fresh_until_ms = 0
-            self._stale.set()
+            self._peers_fresh_until_ms = 0
+            self._peers_stale.set()
             return
-        self._lists_next = False
-        self._known_ms = self._now_ms()
-        self._note_fresh()
+        self._needs_listing = False
+        self._up_to_date_ms = self._now_ms()
+        self._extend_peers_fresh()
 
     def _apply_news(self, news: StoreNews, revision: StoreRevision) -> bool:
-        """Whether the update is complete from the known revision on, and was applied."""
+        """Apply an update if it has all changes since `revision`; returns whether it does."""
         if news.objects is None or (news.after > revision and not news.whole):
             return False
         until_ms = self._now_ms() + news.lapse_ms
@@ -149,46 +149,47 @@
         )
         return True
 
-    def _note_fresh(self) -> None:
+    def _extend_peers_fresh(self) -> None:
         if self._news is not None:
-            self._fresh_until_ms = self._now_ms() + self._news.pace.silent_ms
+            self._peers_fresh_until_ms = self._now_ms() + self._news.pace.silent_ms
 
-    def _publish(self, heard: Listing, since: StoreRevision | None) -> None:
+    def _publish(self, answer: Listing, since: StoreRevision | None) -> None:
         """Publish an answer of the store; `since` is None for a whole listing."""
-        self._note_fresh()
+        self._extend_peers_fresh()
         if self._news is None:
             return
         now_ms = self._now_ms()
         lapse_ms = max(0, self._lapse_until_ms - now_ms)
-        self._news.publish(self.kind, heard, since, lapse_ms, now_ms - self._asked_ms)
+        self._news.publish(self.kind, answer, since, lapse_ms, now_ms - self._sent_ms)
 
     async def _list(self) -> None:
-        self._asked_ms, asked_at = self._now_ms(), self._revision
-        known_ms = self._known_ms
+        self._sent_ms, revision_before = self._now_ms(), self._revision
+        known_ms = self._up_to_date_ms
         reply = await self._source.list_objects(self.kind)
         if isinstance(reply, Err):
             self._fail(reply.err_value)
             return
         self._note_answer()
         self.listed = True
-        self._lists_next = False
-        heard = reply.ok_value
-        if self._revision != asked_at and self._is_overtaken(heard):
+        self._needs_listing = False
+        answer = reply.ok_value
+        if self._revision != revision_before and self._is_overtaken(answer):
             return
-        self._note_restore(heard, max(known_ms, self._trouble_ms))
-        self._sink.replace_all(heard, self._lapse_until_ms)
-        self._revision = heard.revision
-        self._publish(heard, since=None)
+        self._note_restore(answer, max(known_ms, self._last_failure_ms))
+        self._sink.replace_all(answer, self._lapse_until_ms)
+        self._revision = answer.revision
+        self._publish(answer, since=None)
 
-    def _note_restore(self, heard: Listing, after_ms: int) -> None:
-        """Entries written after the copy are missing until their endpoints have written again.
+    def _note_restore(self, answer: Listing, after_ms: int) -> None:
+        """Start the grace period for entries that the restored copy lacks.
 
-        The restore came at `after_ms` or later.
+        They are missing until their endpoints write them again. The restore took place at
+        `after_ms` or later.
         """
         known = self._revision
         if known is None:
             return
-        restored = heard.revision.epoch > known.epoch or heard.revision < known
+        restored = answer.revision.epoch > known.epoch or answer.revision < known
         if not restored:
             return
         now_ms = self._now_ms()
@@ -197,14 +198,14 @@
         logger.warning(
             "event=store_restored kind=%s revision=%s known_revision=%s objects=%d lapse_ms=%d",
             self.kind,
-            heard.revision,
+            answer.revision,
             known,
-            len(heard.objects),
+            len(answer.objects),
             max(0, self._lapse_until_ms - now_ms),
         )
 
     async def _watch(self, revision: StoreRevision) -> None:
-        self._asked_ms = self._now_ms()
+        self._sent_ms = self._now_ms()
         wait_ms = self._watch_wait_ms
         if self._news is not None and self._news.shared:
             wait_ms = min(wait_ms, self._news.pace.watch_wait_ms)
@@ -212,38 +213,38 @@
             reply = await self._source.watch(self.kind, revision, wait_ms)
         ended, self._watching = self._watching.cancelled_caught, None
         if ended:
-            self._lists_next = True
+            self._needs_listing = True
         elif isinstance(reply, Err):
             self._handle_failure(reply.err_value)
         else:
             await self._apply_changes(reply.ok_value, revision)
 
-    async def _apply_changes(self, heard: Listing, revision: StoreRevision) -> None:
-        if heard.revision.epoch != revision.epoch:
-            self._lists_next = True
+    async def _apply_changes(self, answer: Listing, revision: StoreRevision) -> None:
+        if answer.revision.epoch != revision.epoch:
+            self._needs_listing = True
             return
         self._note_answer()
         self._histories_gone = 0
-        if self._is_overtaken(heard):
+        if self._is_overtaken(answer):
             return
-        self._sink.apply(heard, self._lapse_until_ms)
-        self._revision = heard.revision
-        self._publish(heard, since=revision)
-        if heard.objects:
+        self._sink.apply(answer, self._lapse_until_ms)
+        self._revision = answer.revision
+        self._publish(answer, since=revision)
+        if answer.objects:
             await anyio.sleep(WATCH_COALESCE_MS / 1000)
 
     def _end_watch(self) -> None:
-        """The store was restored: a watch that waits there may never end."""
+        """End the current watch after a restore of the store, because it may never return."""
         if self._watching is not None:
             self._watching.cancel()
 
-    def _is_overtaken(self, heard: Listing) -> bool:
-        """Whether a peer's update was newer than an answer on its way."""
-        return self._revision is not None and heard.revision < self._revision
+    def _is_overtaken(self, answer: Listing) -> bool:
+        """Return whether a newer update from a peer was applied while this answer was under way."""
+        return self._revision is not None and answer.revision < self._revision
 
     def _handle_failure(self, failure: HistoryGone | SourceFailure) -> None:
-        """Changes may be missing: list again, unless a peer's update comes first."""
-        self._lists_next = True
+        """List next, because changes may be missing, unless an update from a peer comes first."""
+        self._needs_listing = True
         match failure:
             case HistoryGone():
                 logger.info("event=history_gone kind=%s revision=%s", self.kind, self._revision)
@@ -253,10 +254,10 @@
 
     def _fail(self, failure: SourceFailure) -> None:
         self._failures += 1
-        self._trouble_ms = self._now_ms() if failure.cut else self._asked_ms
+        self._last_failure_ms = self._now_ms() if failure.cut else self._sent_ms
         if self._failures == 1:
-            age_ms = self._now_ms() - self._answered_ms
-            self._lost_ms = self._now_ms() if failure.cut else self._answered_ms
+            age_ms = self._now_ms() - self._last_answer_ms
+            self._outage_began_ms = self._now_ms() if failure.cut else self._last_answer_ms
             logger.warning(
                 "event=store_lost kind=%s reason=%s heard_ms_ago=%d",
                 self.kind,
@@ -267,15 +268,15 @@
     def _note_answer(self) -> None:
         now_ms = self._now_ms()
         if self._failures:
-            away_ms = now_ms - self._lost_ms
-            logger.info("event=store_regained kind=%s away_ms=%d", self.kind, away_ms)
-            if away_ms >= LAPSE_AFTER_MS:
-                bound_ms = self._trouble_ms + self._known_within_ms - LAPSE_MARGIN_MS
+            outage_ms = now_ms - self._outage_began_ms
+            logger.info("event=store_regained kind=%s away_ms=%d", self.kind, outage_ms)
+            if outage_ms >= LAPSE_AFTER_MS:
+                bound_ms = self._last_failure_ms + self._known_within_ms - LAPSE_MARGIN_MS
                 self._lapse_until_ms = min(now_ms + LAPSED_GRACE_MS, bound_ms)
         self._failures = 0
-        self._answered_ms = self._known_ms = now_ms
+        self._last_answer_ms = self._up_to_date_ms = now_ms
 
-    def _backoff_ms(self, troubles: int) -> int:
-        doubled = FOLLOW_BACKOFF_MIN_MS * 2 ** min(troubles - 1, 8)
+    def _backoff_ms(self, failures: int) -> int:
+        doubled = FOLLOW_BACKOFF_MIN_MS * 2 ** min(failures - 1, 8)
         longest_ms = min(FOLLOW_BACKOFF_MAX_MS, doubled)
         return self._rng.randint(longest_ms // 2, longest_ms)
--- a/saffronworks/tests/features/steps/news_steps.py
+++ b/saffronworks/tests/features/steps/news_steps.py
@@ -205,10 +205,10 @@
         await know(nodes, "e1", b"1", within_ms=400)
         # It goes on to watch, and loses that again; what news do shows where they are taken.
         follower = node.follower
-        follower._lists_next = True
+        follower._needs_listing = True
         known = follower._revision.number
         follower.handle_news(news(node, known, known))
-        assert follower._lists_next is False, "news are as whole as a listing"
+        assert follower._needs_listing is False, "news are as whole as a listing"
 
     play_zone(MANY, play)
 
