--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -1,4 +1,4 @@
-"""Which nodes there are, and where they hear each other: each enters itself in the store once."""
+"""Node discovery: each node registers itself in the store and lists all registered nodes."""
 
 import logging
 import random
@@ -20,28 +20,29 @@
 
 logger = logging.getLogger(__name__)
 
-# More cores than any VM has; an entry that claims more would be taken for the strongest planner.
-MOST_CORES = 1024
+# More cores than any VM has. An entry that claims more is rejected, because it would be chosen as
+# the strongest planner.
+MAX_CORES = 1024
 
-# The kind of the objects that nodes enter themselves by; one object a node.
+# Kind of the store's objects for nodes; one object per node.
 NODE_KIND = "saffron-nodes"
-COUNT_EVERY_S = 10.0
-# A node that starts again finds the others at once. At the first start of all it finds few: it
-# counts again after each of these, first by a listing that is exact, then by ones that may be
-# seconds old and cost a tenth. Nodes that are counted early hear of the store from others while
-# endpoints enter themselves, in place of a call for each change.
+LISTING_INTERVAL_S = 10.0
+# A restarted node finds the others with its first listing. When all nodes start together it finds
+# few, so it lists again after each of these delays: first with a consistent read, then with stale
+# reads, which may be seconds old and cost a tenth. Nodes found early receive store updates from
+# peers while endpoints register, instead of making a call for each change.
 CONSISTENT_LISTING_S = 0.7
-NEXT_COUNTS_S = (3.0, 4.0)
-ENTER_AGAIN_S = 1.0
-# After a restore of the store each node counts again once all have entered, and keeps counting
-# those whose entries the copy lacks until then.
-RESTORED_COUNT_S = 4.0
+STALE_LISTING_DELAYS_S = (3.0, 4.0)
+REGISTER_RETRY_S = 1.0
+# After a restore of the store, each node lists again when all have registered again. Until then it
+# keeps the nodes whose entries the copy lacks.
+RESTORE_LISTING_DELAY_S = 4.0
 KEEP_MISSING_MS = 15_000
 
 
 @attrs.frozen
 class NodeInfo:
-    """A node as others know it; `zone` is empty where an earlier version entered it."""
+    """Cores and zone of a node; `zone` is empty if an older version registered it."""
 
     cores: float
     zone: str = ""
@@ -49,18 +50,18 @@
 
 @attrs.frozen
 class _Entry:
-    """Where a node hears its peers, as `IP:port`, how many processor cores it has, and its zone."""
+    """Entry of a node in the store: its peer address (`IP:port`), processor cores and zone."""
 
     address: str
-    cores: Annotated[float, msgspec.Meta(gt=0, le=MOST_CORES)] = 1.0
+    cores: Annotated[float, msgspec.Meta(gt=0, le=MAX_CORES)] = 1.0
     zone: str = ""
 
 
 class Census:
-    """Enters this node, then lists all again and again; hands on who they are, by their addresses.
+    """Registers this node, then lists all nodes periodically; passes changes to `take` by address.
 
-    Entries of dead nodes stay. Parts of the retry slack then only get smaller, and a planner that
-    does not answer is passed over. A node enters again when a restore took its entry back.
+    Entries of dead nodes remain. They only reduce each node's share of the retry slack, and a
+    planner that does not answer is skipped. A node registers again if a restore lost its entry.
     """
 
     def __init__(
@@ -82,56 +83,56 @@
         self._rng = rng
         self._take = take
         self._known: dict[str, NodeInfo] = {}
-        self._told: dict[str, StoreRevision] = {}
+        self._logged_revisions: dict[str, StoreRevision] = {}
         self._now_ms = now_ms
         self._restored = anyio.Event()
         self._keep_missing_until_ms = 0
         self._leaving = False
 
     async def run(self) -> None:
-        """Enter, then count again and again until cancelled."""
+        """Register, then list periodically until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._count_again)
-            tasks.start_soon(self._enter_after_restores)
+            tasks.start_soon(self._list_periodically)
+            tasks.start_soon(self._register_after_restores)
 
-    async def _count_again(self) -> None:
-        await self._enter_until_done()
+    async def _list_periodically(self) -> None:
+        await self._register_until_done()
         await self._list_nodes()
         await anyio.sleep(CONSISTENT_LISTING_S)
         await self._list_nodes(stale=False)
-        for pause_s in NEXT_COUNTS_S:
+        for pause_s in STALE_LISTING_DELAYS_S:
             await anyio.sleep(pause_s)
             await self._list_nodes()
         while True:
-            await anyio.sleep(COUNT_EVERY_S * (0.5 + self._rng.random()))
+            await anyio.sleep(LISTING_INTERVAL_S * (0.5 + self._rng.random()))
             await self._list_nodes()
 
-    async def _enter_until_done(self) -> None:
-        while not await self._enter():
-            await anyio.sleep(ENTER_AGAIN_S * (0.5 + self._rng.random()))
+    async def _register_until_done(self) -> None:
+        while not await self._register():
+            await anyio.sleep(REGISTER_RETRY_S * (0.5 + self._rng.random()))
 
     def _note_restore(self) -> None:
         self._keep_missing_until_ms = self._now_ms() + KEEP_MISSING_MS
         self._restored.set()
 
-    async def _enter_after_restores(self) -> None:
+    async def _register_after_restores(self) -> None:
         while True:
             await self._restored.wait()
             self._restored = anyio.Event()
             await anyio.sleep(RESTORE_JITTER_MS / 1000 * self._rng.random())
             if not self._leaving:
-                await self._enter_until_done()
-            await anyio.sleep(RESTORED_COUNT_S)
+                await self._register_until_done()
+            await anyio.sleep(RESTORE_LISTING_DELAY_S)
             await self._list_nodes()
 
     async def leave(self) -> None:
-        """Remove the entry at a planned stop."""
+        """Remove this node's entry at a planned stop."""
         self._leaving = True
         reply = await self._store.remove(NODE_KIND, self._node)
         if isinstance(reply, Err):
             logger.info("event=census_entry_stays reason=%s", reply.err_value.reason)
 
-    async def _enter(self) -> bool:
+    async def _register(self) -> bool:
         content = msgspec.json.encode(self._entry)
         reply = await self._store.create(NODE_KIND, self._node, content)
         if isinstance(reply, Ok):
@@ -143,7 +144,7 @@
         return False
 
     async def _renew(self, found: StoredObject) -> bool:
-        """An earlier life of this node entered it; its address may have been another one."""
+        """Update the entry of an earlier process of this node, whose address may differ."""
         if self._read(found) == self._entry:
             return True
         content = msgspec.json.encode(self._entry)
@@ -153,11 +154,11 @@
         return isinstance(reply, Ok)
 
     async def _list_nodes(self, stale: bool = True) -> None:
-        listing = await self._store.list_objects(NODE_KIND, stale)
-        if isinstance(listing, Err):
-            logger.info("event=census_failed problem=%s", listing.err_value)
+        reply = await self._store.list_objects(NODE_KIND, stale)
+        if isinstance(reply, Err):
+            logger.info("event=census_failed problem=%s", reply.err_value)
             return
-        read = [self._read(item) for item in listing.ok_value.objects]
+        read = [self._read(item) for item in reply.ok_value.objects]
         listed = {
             entry.address: NodeInfo(entry.cores, entry.zone) for entry in read if entry is not None
         }
@@ -169,10 +170,10 @@
             self._take(nodes)
 
     def _read(self, item: StoredObject) -> _Entry | None:
-        """An entry; one of another writer that names no node is told once a version."""
+        """Return a decoded entry, or None; an invalid one is logged once per revision."""
         read = _decode(item.content or b"")
-        if isinstance(read, Err) and self._told.get(item.name) != item.revision:
-            self._told[item.name] = item.revision
+        if isinstance(read, Err) and self._logged_revisions.get(item.name) != item.revision:
+            self._logged_revisions[item.name] = item.revision
             logger.error(
                 "event=census_entry_unreadable node=%s revision=%s problem=%r",
                 item.name,
