--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -1,7 +1,8 @@
-"""Updates of the store that nodes of an availability zone publish to each other.
+"""Store updates that nodes of an availability zone publish to each other.
 
-Calls to the store are priced by number. Two publishers in a zone watch it for all its nodes, so
-calls grow with zones, not with nodes. A node that receives nothing for a while watches by itself.
+Each call to the store has a price. Two publishers per zone watch it for all nodes of the zone, so
+the number of calls grows with zones, not with nodes. A node that receives no updates for a while
+watches the store itself.
 """
 
 import logging
@@ -19,26 +20,27 @@
 
 logger = logging.getLogger(__name__)
 
-# Nodes of a zone that watch the store for the others. Tolerates one failure without a delay.
+# Nodes of a zone that watch the store for the others; two tolerate one failure without a delay.
 PUBLISHERS = 2
-# Smaller zones share nothing: two publishers, which watch often, make as many calls as the nodes.
+# Nodes of smaller zones watch the store themselves: two publishers, which watch more often, would
+# make as many calls.
 MIN_SHARED_NODES = 9
-# Shares of the time within which a change has to be followed: the longest wait of a publisher's
-# watch, and the silence after which a node makes a call of its own.
+# Shares of the time within which nodes must know of a change: the longest wait of a publisher's
+# watch, and the silence of publishers after which a node calls the store itself.
 WATCH_SHARE = 0.35
 SILENT_SHARE = 0.6
-# Delay after which the next pair of nodes publishes while those before it are silent.
+# Delay until the next pair of nodes takes over from silent publishers.
 NEXT_PUBLISHERS_MS = 500
-# Answers that took this much longer than the watch waits are not published: the node was suspended
-# or the path to the store is slow.
+# An answer that exceeds the watch's wait by more than this is not published, because the node was
+# suspended or its path to the store is slow.
 LATE_MS = 300
-# Larger objects are left out of updates; receivers ask the store.
+# Updates with more content than this omit the objects; receivers read them from the store.
 MAX_NEWS_BYTES = 65_536
 
 
 @attrs.frozen
 class ObjectNews:
-    """One object of the store in an update; `content` is None where it was removed."""
+    """One object of the store in an update; `content` is None if it was removed."""
 
     name: str
     revision: int
@@ -47,11 +49,11 @@
 
 @attrs.frozen
 class StoreNews:
-    """Publisher to the nodes of its zone: the store was at `revision` a moment ago.
+    """Update from a publisher to the nodes of its zone: the store is at `revision`.
 
-    `objects` changed since `since`, or are all there are (`whole`); None where they are too large
-    to send. Until `lapse_ms` from now entries may be missing that still hold. All numbers are of
-    the same `epoch`, 0 from a node that knows none.
+    `objects` are the changes since `since`, or all objects if `whole`; None if they are too large
+    to send. For another `lapse_ms`, entries that are missing may still be valid. All revisions are
+    of the same `epoch`, which is 0 if the publisher knows none.
     """
 
     sender: str
@@ -65,36 +67,36 @@
 
     @classmethod
     def from_listing(
-        cls, sender: str, kind: str, heard: Listing, since: StoreRevision | None, lapse_ms: int
+        cls, sender: str, kind: str, answer: Listing, since: StoreRevision | None, lapse_ms: int
     ) -> "StoreNews":
-        """An answer of the store; `since` None tells that it is all there is."""
+        """Build the update for an answer of the store; `since` is None for a complete listing."""
         objects = tuple(
-            ObjectNews(item.name, item.revision.number, item.content) for item in heard.objects
+            ObjectNews(item.name, item.revision.number, item.content) for item in answer.objects
         )
         return cls(
             sender,
             kind,
             since.number if since else 0,
-            heard.revision.number,
+            answer.revision.number,
             objects,
             whole=since is None,
             lapse_ms=lapse_ms,
-            epoch=heard.revision.epoch,
+            epoch=answer.revision.epoch,
         )
 
     @property
     def at(self) -> StoreRevision:
-        """Where the store stood."""
+        """Return the revision of the store at this update."""
         return StoreRevision(self.epoch, self.revision)
 
     @property
     def after(self) -> StoreRevision:
-        """From where on the changes are complete."""
+        """Return the revision after which the update has all changes."""
         return StoreRevision(self.epoch, self.since)
 
     @property
     def listing(self) -> Listing:
-        """The objects as the store lists them."""
+        """Return the objects in the form of a store listing."""
         objects = (
             StoredObject(item.name, StoreRevision(self.epoch, item.revision), item.content)
             for item in self.objects or ()
@@ -104,14 +106,14 @@
 
 @attrs.frozen
 class NewsPace:
-    """The wait of a publisher's watch, and the silence after which a node asks by itself."""
+    """Longest wait of a publisher's watch, and silence after which a node calls the store."""
 
     watch_wait_ms: int
     silent_ms: int
 
     @classmethod
     def within(cls, follow_within_ms: int) -> "NewsPace":
-        """The pace at which a change is followed within this time, whoever falls silent."""
+        """Return the pace at which nodes know of a change in time even if publishers fail."""
         return cls(int(WATCH_SHARE * follow_within_ms), int(SILENT_SHARE * follow_within_ms))
 
 
@@ -128,7 +130,7 @@
         self._now_ms = now_ms
         self._kernel: Kernel | None = None
         self._subscribers: dict[str, Callable[[StoreNews], None]] = {}
-        # When a node ranked before this one last published, by kind.
+        # When a node ranked ahead of this one last published, by kind.
         self._ahead_published_ms: dict[str, int] = {}
         self._publishing: dict[str, bool] = {}
 
@@ -138,9 +140,9 @@
         self._ahead_published_ms[kind] = self._now_ms()
 
     def update_zone(self, cores: dict[str, float]) -> None:
-        """Set the nodes of this zone with their cores; strong ones publish first.
+        """Set the nodes of this zone with their cores; nodes with more cores publish first.
 
-        Silence is counted from when the zone became large enough.
+        The silence of publishers is measured from when the zone became large enough.
         """
         self.turns.take(cores, strong_nodes(cores))
         was_shared, self._nodes = self.shared, cores.keys()
@@ -149,11 +151,11 @@
 
     @property
     def shared(self) -> bool:
-        """Whether the zone is large enough for publishers."""
+        """Return whether the zone is large enough for publishers."""
         return len(self._nodes) >= MIN_SHARED_NODES
 
     def is_publisher(self, kind: str) -> bool:
-        """Whether this node is a publisher now: it ranks first, or those before it are silent."""
+        """Return whether this node publishes: it ranks first, or those ahead of it are silent."""
         if not self.shared:
             return False
         place = self.turns.place(kind)
@@ -163,15 +165,15 @@
         return self._now_ms() - self._ahead_published_ms[kind] >= wait_ms
 
     def follows_peers(self) -> bool:
-        """Whether other nodes of the zone watch the store for this one."""
+        """Return whether other nodes of the zone watch the store for this one."""
         return self.shared and not any(self.is_publisher(kind) for kind in self._subscribers)
 
     def publish(
-        self, kind: str, heard: Listing, since: StoreRevision | None, lapse_ms: int, took_ms: int
+        self, kind: str, answer: Listing, since: StoreRevision | None, lapse_ms: int, took_ms: int
     ) -> None:
-        """Send an answer of the store that took `took_ms` to the zone, if this is a publisher.
+        """Send an answer of the store, received after `took_ms`, to the zone if a publisher.
 
-        `since` is None for a whole listing.
+        `since` is None for a complete listing.
         """
         publishing = self.is_publisher(kind) and self._kernel is not None
         if publishing is not self._publishing.get(kind, False):
@@ -180,8 +182,8 @@
         if not publishing or took_ms > self.pace.watch_wait_ms + LATE_MS:
             return
         assert self._kernel is not None
-        news = StoreNews.from_listing(self.turns.own, kind, heard, since, lapse_ms)
-        size = sum(len(item.content or b"") for item in heard.objects)
+        news = StoreNews.from_listing(self.turns.own, kind, answer, since, lapse_ms)
+        size = sum(len(item.content or b"") for item in answer.objects)
         if size > MAX_NEWS_BYTES:
             news = attrs.evolve(news, objects=None)
         for node in self._nodes:
@@ -189,7 +191,7 @@
                 self._kernel.post("peers", Outgoing(node, news))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Receive updates until cancelled."""
+        """Process updates from peers until cancelled."""
         self._kernel = kernel
         async for news in mailbox:
             self._handle(news)
