--- a/saffronworks/forwarding/store_revisions.py
+++ b/saffronworks/forwarding/store_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions of the store, and the epochs of its history."""
+"""Revisions of the store, and epochs that separate them across restores."""
 
 import logging
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 logger = logging.getLogger(__name__)
 
-# More writes than a store makes in one epoch; tokens stay exact as JSON numbers.
+# Exceeds the writes of one epoch, and keeps fencing tokens exact as JSON numbers.
 FENCES_PER_EPOCH = 2**32
 
 
@@ -26,13 +26,13 @@
 
     @property
     def fence(self) -> int:
-        """A fencing token: it rises across restores, though numbers are issued again."""
+        """Return a fencing token, which increases across restores although numbers repeat."""
         return self.epoch * FENCES_PER_EPOCH + self.number
 
     def is_reverted_from(self, known: "StoreRevision") -> bool:
-        """Whether an object at this revision may be from a copy made before it was at `known`.
+        """Return whether an object may come from a copy made before it reached `known`.
 
-        A later write has a higher number for certain only beyond that of `known`.
+        Only a number above that of `known` proves that it was written after the restore.
         """
         return self.epoch > known.epoch and self.number <= known.number
 
@@ -41,7 +41,7 @@
 
 
 class StoreEpoch:
-    """The newest epoch of the store that this node knows of, from answers or from peers."""
+    """The newest epoch of the store that was observed in answers or updates from peers."""
 
     def __init__(self) -> None:
         self.newest: int | None = None
@@ -52,7 +52,7 @@
         self._subscribers.append(on_restore)
 
     def observe(self, epoch: int) -> int:
-        """Update from an answer or a peer, ignoring older epochs; returns the newest known."""
+        """Record an epoch from an answer or a peer unless it is older; returns the newest."""
         if self.newest is not None and epoch <= self.newest:
             return self.newest
         before, self.newest = self.newest, epoch
