--- a/saffronworks/forwarding/retry_budget.py
+++ b/saffronworks/forwarding/retry_budget.py
@@ -1,4 +1,4 @@
-"""Each node's part of the fleet's budget of sends past the first of each request."""
+"""The node's share of the fleet's retry budget: sends beyond the first of each request."""
 
 from collections import deque
 
@@ -13,10 +13,10 @@
 
 @attrs.define
 class RetryBudget:
-    """Extra sends stay below a share of this node's requests plus its part of a fixed slack.
+    """Limits retries to a ratio of this node's requests plus its share of the fleet's slack.
 
-    Nodes need no messages for it: `nodes` is how many share the slack, rather too many than too
-    few. Counts are kept by service over a sliding window.
+    Nodes need no messages for this: `nodes` divides the slack, and must not be lower than their
+    true number. Requests and retries are counted per service over a sliding window.
     """
 
     ratio: float
@@ -24,24 +24,24 @@
     window_ms: int
     nodes: int = 1
     _requests: dict[str, deque[int]] = attrs.Factory(dict)
-    _extras: dict[str, deque[int]] = attrs.Factory(dict)
+    _retries: dict[str, deque[int]] = attrs.Factory(dict)
 
     def count_request(self, service: str, now_ms: int) -> None:
-        """A caller's request on a route to that service came in."""
+        """Count a caller's request on a route to `service`."""
         self._recent(self._requests, service, now_ms).append(now_ms)
 
     def allows(self, service: str, now_ms: int) -> bool:
-        """Whether one more extra send would stay within this node's part."""
+        """Return whether one more retry stays within this node's share."""
         requests = len(self._recent(self._requests, service, now_ms))
-        extras = len(self._recent(self._extras, service, now_ms))
-        part = self.ratio * requests + self.slack / max(1, self.nodes)
-        return extras + 1 <= BUDGET_USED_SHARE * part
+        retries = len(self._recent(self._retries, service, now_ms))
+        share = self.ratio * requests + self.slack / max(1, self.nodes)
+        return retries + 1 <= BUDGET_USED_SHARE * share
 
     def withdraw(self, service: str, now_ms: int) -> bool:
-        """Count one extra send if it is allowed."""
+        """Count one retry if the budget allows it; returns whether it does."""
         if not self.allows(service, now_ms):
             return False
-        self._recent(self._extras, service, now_ms).append(now_ms)
+        self._recent(self._retries, service, now_ms).append(now_ms)
         return True
 
     def _recent(self, counts: dict[str, deque[int]], service: str, now_ms: int) -> deque[int]:
