--- a/saffronworks/forwarding/neighbours.py
+++ b/saffronworks/forwarding/neighbours.py
@@ -1,4 +1,4 @@
-"""The few nodes that a node tells what all are to know; they tell it on."""
+"""Choice of the nodes to which a node sends gossip, which they forward."""
 
 import random
 from collections.abc import Iterable
@@ -9,31 +9,31 @@
 
 __all__ = ["Neighbours"]
 
-# Few, so that a node needs few connections.
-NEIGHBOURS = 12
-# This share of the messages goes to any nodes: where half of the listed ones are dead, some have
-# hardly a live node that names them a neighbour, and one of 200 did not know it after 3 s.
-ANY_NODE_SHARE = 0.25
+# Neighbours of a node; few, so that it needs few connections.
+NEIGHBOUR_COUNT = 12
+# Share of the messages that go to random nodes. If half of the listed nodes are dead, some nodes
+# are a neighbour of hardly any live one: without this, one node of 200 lacked an update after 3 s.
+RANDOM_NODE_SHARE = 0.25
 
 
 @attrs.define
 class Neighbours:
-    """Chooses whom to tell; nodes are named by their address."""
+    """Chooses the receivers of gossip among the nodes, which are identified by address."""
 
     own: str
     rng: random.Random
     nodes: tuple[str, ...] = ()
-    _near: list[str] = attrs.Factory(list)
+    _neighbours: list[str] = attrs.Factory(list)
 
     def update_nodes(self, nodes: Iterable[str]) -> None:
-        """Which nodes there are from now on."""
+        """Replace the set of nodes and choose the neighbours among them."""
         self.nodes = tuple(nodes)
         others = [node for node in self.nodes if node != self.own]
-        self._near = rank_members(others, self.own, NEIGHBOURS)
+        self._neighbours = rank_members(others, self.own, NEIGHBOUR_COUNT)
 
     def choose(self, count: int) -> list[str]:
-        """So many of them, by chance; sometimes any nodes."""
-        known = self._near
-        if self.rng.random() < ANY_NODE_SHARE:
-            known = [node for node in self.nodes if node != self.own]
-        return self.rng.sample(known, min(len(known), count))
+        """Return up to `count` random neighbours, or sometimes random nodes."""
+        candidates = self._neighbours
+        if self.rng.random() < RANDOM_NODE_SHARE:
+            candidates = [node for node in self.nodes if node != self.own]
+        return self.rng.sample(candidates, min(len(candidates), count))
