--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -1,4 +1,4 @@
-"""Whose request it is: the organisation that holds its key, or why it is refused."""
+"""Authentication of requests: the organisation of the API key, or the reason for a refusal."""
 
 from collections.abc import Callable
 
@@ -18,24 +18,24 @@
 
 __all__ = ["KEY_REVOKED", "Authenticator"]
 
-# A key that no longer holds while its request waits, is read, or is about to be sent again.
+# Refusal of a request whose key is revoked while it waits, during its prefill or before a retry.
 KEY_REVOKED = Refuse(401, "unknown-key", not_run=False)
 
 
 @attrs.define
 class Authenticator:
-    """The keys that are in force; None where callers need none.
+    """Authenticates requests by the valid API keys; `organisations` is None if none are needed.
 
-    `in_touch` tells whether the newest configuration is known here as soon as it has to be. A node
-    that is out of touch serves the keys that it knows, as others may do for as long, but can't say
-    of another key that nobody holds it: that caller is told to try again, at any node.
+    `is_config_current` returns whether this node knows the newest configuration within the time
+    allowed. Otherwise it still accepts the keys that it knows, but can't reject an unknown key,
+    which a newer configuration may contain: it answers that the caller should retry, at any node.
     """
 
-    in_touch: Callable[[], bool]
+    is_config_current: Callable[[], bool]
     organisations: Organisations | None = None
 
     def authenticate(self, request: CallerRequest, route: Route) -> Organisation | Refuse | None:
-        """The organisation of a request; None where it needs none and names none."""
+        """Return the organisation of a request, a refusal, or None if it needs no key."""
         if self.organisations is None:
             return None
         key = request.key
@@ -46,12 +46,12 @@
             return Refuse(401, "no-key", not_run=False)
         if isinstance(key, BadKey):
             return Refuse(401, key.reason, not_run=False)
-        if not self.in_touch():
+        if not self.is_config_current():
             return Refuse(503, "unknown-key-out-of-touch", True, OTHER_NODE_RETRY_AFTER_MS)
         return Refuse(401, "unknown-key", not_run=False)
 
     def is_still_authorized(self, request: CallerRequest, route: Route) -> bool:
-        """Whether a request under way may still be sent: its organisation has its key still."""
+        """Return whether a request in progress may still be sent, since its key is still valid."""
         if request.organisation is None or route.public or self.organisations is None:
             return True
         holder = None if isinstance(request.key, BadKey) else self._find(request.key)
