--- a/saffronworks/forwarding/organisations.py
+++ b/saffronworks/forwarding/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations, the keys that name them, and what their quotas count."""
+"""Organisations, their API keys and their quotas."""
 
 import enum
 import hashlib
@@ -19,19 +19,19 @@
     "parse_key",
 ]
 
-# What stands for an API key once its request was read: the key itself is kept nowhere, so that no
-# log line, message, metric or traceback can show it.
+# Replaces an API key as soon as its request is parsed. The key itself is not kept, so that no log
+# line, message, metric or traceback can reveal it.
 KeyDigest = NewType("KeyDigest", bytes)
 
-# Keys have some twenty bytes; a longer one is refused before it is hashed.
+# Keys have about twenty bytes; a longer one is rejected before it is hashed.
 MAX_KEY_BYTES = 256
 DIGEST_BYTES = 16
-# Drawn at each start, so that how long a look-up takes tells nothing of a key.
+# Random per process, so that the duration of a look-up reveals nothing about a key.
 _SECRET = secrets.token_bytes(DIGEST_BYTES)
 
 
 class QuotaUnit(enum.Enum):
-    """What a quota counts."""
+    """Unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -39,9 +39,10 @@
 
 @attrs.frozen
 class Quota:
-    """What an organisation may have run by all nodes together.
+    """Rate limit of an organisation over all nodes together.
 
-    `per_s` and, on top, `burst` are in `unit`; a request without a prompt counts `plain_tokens`.
+    `per_s` and the additional `burst` are in `unit`; a request without a prompt costs
+    `plain_tokens`.
     """
 
     per_s: float
@@ -50,7 +51,7 @@
     plain_tokens: int = 1
 
     def cost(self, tokens: int | None) -> int:
-        """What a request counts; `tokens` are its prompt's and the most of its answer's."""
+        """Return the cost of a request of `tokens`: its prompt's plus its answer's maximum."""
         match self.unit:
             case QuotaUnit.REQUESTS:
                 return 1
@@ -60,7 +61,7 @@
 
 @attrs.frozen
 class Organisation:
-    """Who asks: a lower `priority` is more urgent, and comes before that of the route."""
+    """A customer; its `priority` (lower is more urgent) takes precedence over the route's."""
 
     name: str
     priority: int | None = None
@@ -72,18 +73,18 @@
 
 @attrs.frozen
 class BadKey:
-    """What a request carries as its key can't be one."""
+    """The key field of a request does not contain a valid key."""
 
     reason: str
 
 
 def digest_key(key: str) -> KeyDigest:
-    """What stands for a key in this process alone."""
+    """Return the digest of a key, which is valid only within this process."""
     return KeyDigest(hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES, key=_SECRET).digest())
 
 
 def parse_key(values: list[str]) -> KeyDigest | BadKey | None:
-    """The key among the values of its field; None where there is no such field."""
+    """Return the digest of the key in a header field's values; None if there is no such field."""
     if not values:
         return None
     if len(values) > 1:
@@ -91,7 +92,7 @@
     key = values[0]
     if len(key) > MAX_KEY_BYTES:
         return BadKey("key-too-long")
-    # Visible ASCII: no blank, no control byte, nothing that two encodings write differently.
-    if not key or not all("!" <= sign <= "~" for sign in key):
+    # Visible ASCII only: no spaces, no control bytes, and the same bytes in every encoding.
+    if not key or not all("!" <= character <= "~" for character in key):
         return BadKey("malformed-key")
     return digest_key(key)
