--- a/saffronworks/forwarding/contents.py
+++ b/saffronworks/forwarding/contents.py
@@ -1,19 +1,19 @@
-"""Identity of what a request holds, by which tries of it are known again."""
+"""Digest of a request's content, which identifies repeated attempts of the same request."""
 
 import hashlib
 from typing import NewType
 
 __all__ = ["ContentId", "content_id"]
 
-# In hexadecimal. It says nothing of the body, so it may stand in logs, messages and the store.
+# In hexadecimal. It reveals nothing of the body, so logs, messages and the store may contain it.
 ContentId = NewType("ContentId", str)
 
-# 128 bits: nobody finds a request that has the identity of somebody else's.
+# 128 bits prevent a caller from constructing a request with the digest of another one.
 DIGEST_BYTES = 16
 
 
 def content_id(method: str, host: str, target: str, caller: str, body: bytes) -> ContentId:
-    """The identity of a request's parts; 5 KB take some 10 us."""
+    """Return the digest of a request's parts; 5 KB take about 10 us."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host, target, caller):
         data = part.encode()
