--- a/saffronworks/forwarding/exchange_errors.py
+++ b/saffronworks/forwarding/exchange_errors.py
@@ -1,4 +1,4 @@
-"""Why an exchange with an endpoint ended without a whole answer."""
+"""Failures of an exchange with an endpoint."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExchangeErrorCause(enum.StrEnum):
-    """Why an exchange ended without a whole answer."""
+    """Cause of an exchange's end without a complete answer."""
 
     CONNECT = "connect"
     SILENT = "silent"
@@ -15,9 +15,9 @@
     UNREACHABLE = "unreachable"
     NOT_HTTP = "not-http"
     OUT_OF_ORDER = "out-of-order"
-    # The endpoint has started again since, and knows nothing of the exchange.
+    # The endpoint has restarted and lost the state of the exchange.
     RESTARTED = "restarted"
-    # This node sent nothing: the endpoint wants no more requests.
+    # Nothing was sent, because the endpoint accepts no more requests.
     WITHHELD = "withheld"
 
 
@@ -25,7 +25,7 @@
 
 
 class ExchangeError(Exception):
-    """The exchange is over; `sent` tells whether the endpoint may have seen the request."""
+    """An exchange has failed; `sent` is whether the endpoint may have received the request."""
 
     def __init__(self, cause: ExchangeErrorCause, sent: bool):
         super().__init__(cause.value)
@@ -34,10 +34,10 @@
 
     @property
     def withheld(self) -> bool:
-        """Whether the endpoint was not tried, so that it has not failed."""
+        """Return whether nothing was sent, so that the endpoint has not failed."""
         return self.cause is ExchangeErrorCause.WITHHELD
 
     @property
     def unreachable(self) -> bool:
-        """Whether nobody is there, or the way there is cut."""
+        """Return whether the endpoint is down or the network path to it is cut."""
         return self.cause in _UNREACHABLE
