--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 connections to endpoints, one request at a time on each.
 
-httpcore hides what decides here: whether any byte of a request left, whether bytes came that
-belong to no request, and whether an answer without a length ended by a close or by a reset. So
-these are asyncio protocols over httptools.
+These are asyncio protocols over httptools, because httpcore does not expose whether any byte of a
+request was sent, whether bytes arrived that belong to no request, and whether an answer without a
+length ended by a close or by a reset.
 """
 
 import asyncio
@@ -27,24 +27,24 @@
 __all__ = ["EndpointConnection", "ResponseHead"]
 
 _NO_BODY = frozenset([204, 304])
-_FIRST_FAILURE = 400
+_MIN_FAILURE_STATUS = 400
 
 
 @attrs.define
 class ResponseHead:
-    """Status and header fields of an answer, in order, names as they came."""
+    """Status and header fields of an answer, in order, with names as received."""
 
     status: int = 0
     fields: list[tuple[str, str]] = attrs.Factory(list)
 
     def get(self, name: str) -> str | None:
-        """The first field of that name, in any case."""
+        """Return the first field of that name, ignoring case."""
         wanted = name.lower()
         return next((value for key, value in self.fields if key.lower() == wanted), None)
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One connection. An answer whose id differs from the request's is read over and dropped."""
+    """A connection to an endpoint; discards answers whose id differs from the request's."""
 
     def __init__(self, id_field: str):
         self._id_field = id_field
@@ -52,32 +52,32 @@
         self._changed = asyncio.Event()
         self._chunks: deque[bytes] = deque()
         self.buffered_bytes = 0
-        # Called when `buffered_bytes` has changed, while an answer is passed on.
+        # Called when `buffered_bytes` has changed while an answer is relayed.
         self.on_buffered_change: Callable[[], None] | None = None
-        self._full = False
-        self._held = False
+        self._buffer_full = False
+        self._paused_by_bound = False
         self.paused = False
         self._parser: httptools.HttpResponseParser | None = None
         self._awaited_id: str | None = None
-        self._earlier_id: str | None = None
+        self._previous_id: str | None = None
         self._incoming = ResponseHead()
         self._head: ResponseHead | None = None
-        self._dropping = False
+        self._discarding = False
         self._bodiless = False
-        self._whole = False
+        self._complete = False
         self.framed = False
-        self._lost: ExchangeErrorCause | None = None
+        self._loss_cause: ExchangeErrorCause | None = None
         self.idle_since_ms = 0
         self.keep_alive_ms = float(KEEP_ALIVE_DEFAULT_MS)
         self.reusable = True
-        # Whether no request may follow, but calls of the router's own, which carry no id either.
+        # Whether only the router's own control calls may follow, which carry no id either.
         self.control_calls_only = False
         self.uses = 0
 
     # asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Bound how long unacknowledged bytes and a silent path are borne."""
+        """Set TCP options, among them the timeout of unacknowledged data."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -85,8 +85,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that no request waits for spoil the connection."""
-        if self._parser is None or self._whole:
+        """Parse received bytes; close the connection if they belong to no request."""
+        if self._parser is None or self._complete:
             self.reusable = False
             self.close()
             return
@@ -94,85 +94,90 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.reusable = False
-            if not self._whole:
-                self._lose(ExchangeErrorCause.NOT_HTTP)
+            if not self._complete:
+                self._record_loss(ExchangeErrorCause.NOT_HTTP)
             self.close()
         self._changed.set()
 
     def eof_received(self) -> bool:
-        """The endpoint closed: that ends an answer without a length."""
+        """Handle a close by the endpoint, which ends an answer without a length."""
         self.reusable = False
-        if self._head is not None and not self.framed and not self._dropping:
-            self._whole = True
-        self._lose(ExchangeErrorCause.CLOSED)
+        if self._head is not None and not self.framed and not self._discarding:
+            self._complete = True
+        self._record_loss(ExchangeErrorCause.CLOSED)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A reset, the end after a close, or bytes that nobody acknowledged (ETIMEDOUT)."""
+        """Handle a reset, the end after a close, or unacknowledged data (ETIMEDOUT)."""
         self.reusable = False
         if exc is None:
-            self._lose(ExchangeErrorCause.CLOSED)
+            self._record_loss(ExchangeErrorCause.CLOSED)
         else:
             timed_out = isinstance(exc, TimeoutError)
-            self._lose(ExchangeErrorCause.UNREACHABLE if timed_out else ExchangeErrorCause.RESET)
+            self._record_loss(
+                ExchangeErrorCause.UNREACHABLE if timed_out else ExchangeErrorCause.RESET
+            )
 
-    def _lose(self, cause: ExchangeErrorCause) -> None:
-        if self._lost is None:
-            self._lost = cause
+    def _record_loss(self, cause: ExchangeErrorCause) -> None:
+        if self._loss_cause is None:
+            self._loss_cause = cause
         self._changed.set()
 
     # httptools' callbacks
 
     def on_message_begin(self) -> None:
-        """A new answer; a second one after a whole answer belongs to no request."""
-        if self._whole:
+        """Begin an answer; one after a complete answer belongs to no request."""
+        if self._complete:
             self.reusable = False
         self._incoming = ResponseHead()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a field."""
+        """Append a header field."""
         self._incoming.fields.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Decide whose answer this is."""
+        """Accept the head, or discard an answer that belongs to another request."""
         assert self._parser is not None
-        if self._whole:
+        if self._complete:
             return
-        # Fields that follow the body are none of the head.
+        # Trailer fields, which follow the body, are not part of the head.
         head, self._incoming = self._incoming, ResponseHead()
         head.status = self._parser.get_status_code()
-        self._dropping = head.status < 200 or self._answers_another(head.get(self._id_field))
-        if self._dropping:
+        self._discarding = head.status < 200 or self._belongs_to_another(head.get(self._id_field))
+        if self._discarding:
             self.reusable = self.reusable and head.status < 200
             return
         self._head = head
         if head.get(self._id_field) is None:
-            self._note_unidentified(head.status)
+            self._restrict_reuse(head.status)
         self.framed = (
             head.get("content-length") is not None
             or head.get("transfer-encoding") is not None
             or head.status in _NO_BODY
         )
-        self._whole = self._bodiless
+        self._complete = self._bodiless
         self._read_keep_alive(head)
 
-    def _note_unidentified(self, status: int) -> None:
-        """No later request may follow an answer without an id, or a refused call of our own.
+    def _restrict_reuse(self, status: int) -> None:
+        """Restrict reuse after an answer without an id, or a failed control call.
 
-        A copy of it that comes late would be taken for the answer to that request, as whose
-        refusal to run it counts.
+        A late duplicate of it would be taken for the answer to the next request, and could report
+        that it was not run.
         """
         if self._awaited_id is not None:
             self.reusable = False
-        elif status >= _FIRST_FAILURE:
+        elif status >= _MIN_FAILURE_STATUS:
             self.control_calls_only = True
 
-    def _answers_another(self, answer_id: str | None) -> bool:
-        """Whether an answer belongs to another request; of a call without an id, to one before."""
+    def _belongs_to_another(self, answer_id: str | None) -> bool:
+        """Return whether an answer has the id of another request.
+
+        A control call without an id rejects only the id of the previous request.
+        """
         if answer_id is None:
             return False
         if self._awaited_id is None:
-            return answer_id == self._earlier_id
+            return answer_id == self._previous_id
         return answer_id != self._awaited_id
 
     def _read_keep_alive(self, head: ResponseHead) -> None:
@@ -185,26 +190,26 @@
                 self.keep_alive_ms = timeout_s.ok_value * 1000.0 * KEEP_ALIVE_SHARE
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body for the reader."""
-        if self._dropping:
+        """Buffer a part of the body for the reader."""
+        if self._discarding:
             return
-        if self._whole:
+        if self._complete:
             self.reusable = False
             return
         self._chunks.append(data)
         self.buffered_bytes += len(data)
-        self._full = self.buffered_bytes > MOST_BUFFERED_BYTES
+        self._buffer_full = self.buffered_bytes > MOST_BUFFERED_BYTES
         self._update_reading()
         if self.on_buffered_change is not None:
             self.on_buffered_change()
 
-    def set_reading_paused(self, held: bool) -> None:
-        """Read no further, whatever is buffered, or read on; for the bound of the whole node."""
-        self._held = held
+    def set_reading_paused(self, paused: bool) -> None:
+        """Pause or resume reading for the node-wide bound on buffers."""
+        self._paused_by_bound = paused
         self._update_reading()
 
     def _update_reading(self) -> None:
-        paused = self._full or self._held
+        paused = self._buffer_full or self._paused_by_bound
         if paused == self.paused or self._transport is None:
             return
         self.paused = paused
@@ -214,75 +219,78 @@
             self._transport.resume_reading()
 
     def on_message_complete(self) -> None:
-        """The answer is whole, unless it was one to drop."""
-        if self._dropping:
-            self._dropping = False
+        """Complete the answer, unless it was discarded."""
+        if self._discarding:
+            self._discarding = False
         elif self._head is not None:
-            self._whole = True
+            self._complete = True
 
-    # The exchange
+    # Exchange
 
     def send(self, data: bytes, awaited_id: str | None, bodiless: bool = False) -> None:
-        """Start an exchange; `bodiless` where the answer is a head alone (the method HEAD).
+        """Start an exchange; `bodiless` if the answer has no body (method HEAD).
 
-        ExchangeError when the connection is gone already.
+        Raises ExchangeError if the connection is already lost.
         """
-        if self._lost is not None or self._transport is None or self._transport.is_closing():
+        if self._loss_cause is not None or self._transport is None or self._transport.is_closing():
             raise ExchangeError(ExchangeErrorCause.CLOSED, sent=False)
         self._parser = httptools.HttpResponseParser(self)
         if self._awaited_id is not None:
-            self._earlier_id = self._awaited_id
+            self._previous_id = self._awaited_id
         self._awaited_id = awaited_id
         self._bodiless = bodiless
         self._head = None
-        self._whole = self._dropping = self.framed = False
+        self._complete = self._discarding = self.framed = False
         self._chunks.clear()
         self.buffered_bytes = 0
-        # An answer that nobody read to its end may have left the connection paused.
-        self._full = self._held = False
+        # An answer that was not read to its end may have left the connection paused.
+        self._buffer_full = self._paused_by_bound = False
         self._update_reading()
         self.uses += 1
         self._transport.write(data)
 
     async def head(self, timeout_ms: float) -> ResponseHead:
-        """The status and fields of the answer; ExchangeError when there is none in time."""
+        """Return the head of the answer; raises ExchangeError if there is none in time."""
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 while self._head is None:
-                    if self._lost is not None:
-                        raise ExchangeError(self._lost, sent=True)
+                    if self._loss_cause is not None:
+                        raise ExchangeError(self._loss_cause, sent=True)
                     await self._wait()
         except TimeoutError:
             raise ExchangeError(ExchangeErrorCause.SILENT, sent=True) from None
         return self._head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """The next part of the body, None at its end; ExchangeError if it ends early or stalls."""
-        while not await self._has_chunks(timeout_ms):
-            if self._whole:
+        """Return the next part of the body, None at its end.
+
+        Raises ExchangeError if the body ends early or stalls.
+        """
+        while not await self._wait_for_chunks(timeout_ms):
+            if self._complete:
                 return None
-            # An endpoint that is not read from is not silent.
-            if not self._held:
+            # While reading is paused, the endpoint is not the cause of the silence.
+            if not self._paused_by_bound:
                 raise ExchangeError(ExchangeErrorCause.SILENT, sent=True)
         data = b"".join(self._chunks)
         self._chunks.clear()
         self.buffered_bytes = 0
-        self._full = False
+        self._buffer_full = False
         self._update_reading()
         return data
 
-    async def _has_chunks(self, timeout_ms: float | None) -> bool:
-        """Wait for a part of the body; False at its end, or when none comes in time."""
+    async def _wait_for_chunks(self, timeout_ms: float | None) -> bool:
+        """Wait for a part of the body; False at its end or after the timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(None if timeout_ms is None else timeout_ms / 1000):
-                while not self._chunks and not self._whole:
-                    if self._lost is not None:
-                        raise ExchangeError(self._lost, sent=True)
+                while not self._chunks and not self._complete:
+                    if self._loss_cause is not None:
+                        raise ExchangeError(self._loss_cause, sent=True)
                     await self._wait()
         return bool(self._chunks)
 
     async def body(self, timeout_ms: float) -> bytes:
-        """The rest of the body; for small answers."""
+        """Return the rest of the body of a small answer."""
         parts = []
         while (chunk := await self.next_chunk(timeout_ms)) is not None:
             parts.append(chunk)
@@ -294,16 +302,16 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the exchange ended whole and another may follow."""
-        return self._whole and self.reusable and self._lost is None
+        """Return whether the exchange is complete and another one may follow."""
+        return self._complete and self.reusable and self._loss_cause is None
 
     def abort_exchange(self, cause: ExchangeErrorCause) -> None:
-        """End an exchange whose endpoint will not answer any more."""
+        """Abort an exchange whose endpoint will not answer any more."""
         self.reusable = False
-        self._lose(cause)
+        self._record_loss(cause)
         self.close()
 
     def close(self) -> None:
-        """Close at once; the endpoint sees it and stops its work."""
+        """Close at once; the endpoint detects this and stops its work."""
         if self._transport is not None:
             self._transport.abort()
