--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections of a node to endpoints: idle ones to use again, busy ones to end."""
+"""The pool of a node's connections to endpoints, idle and busy."""
 
 import asyncio
 import logging
@@ -21,20 +21,20 @@
 
 
 class ConnectionPool:
-    """Connections by start of an endpoint, since an address may pass to another one."""
+    """Connections by start of an endpoint, because another endpoint may reuse its address."""
 
     def __init__(self, id_field: str):
         self._id_field = id_field
         self._idle: dict[StartId, deque[EndpointConnection]] = {}
         self._busy: dict[StartId, set[EndpointConnection]] = {}
-        self.most_idle = MAX_IDLE_CONNECTIONS
+        self.max_idle = MAX_IDLE_CONNECTIONS
 
     async def acquire(
         self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection:
-        """An idle connection, else a new one; ExchangeError when none can be opened.
+        """Return an idle connection or open one; raises ExchangeError if that fails.
 
-        `own_call`: for a call of the router's own, not for a request.
+        `control_call`: for a call of the router itself, not for a caller's request.
         """
         connection = self._find_idle(endpoint, control_call) or await self._open(endpoint)
         self._busy.setdefault(endpoint.instance, set()).add(connection)
@@ -44,18 +44,18 @@
         self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection | None:
         idle = self._idle.get(endpoint.instance, deque())
-        passed_over: list[EndpointConnection] = []
+        skipped: list[EndpointConnection] = []
         found = None
         while idle and found is None:
             connection = idle.pop()
-            rested_ms = monotonic_ms() - connection.idle_since_ms
-            if not connection.reusable or rested_ms >= connection.keep_alive_ms:
+            idle_ms = monotonic_ms() - connection.idle_since_ms
+            if not connection.reusable or idle_ms >= connection.keep_alive_ms:
                 connection.close()
             elif connection.control_calls_only and not control_call:
-                passed_over.append(connection)
+                skipped.append(connection)
             else:
                 found = connection
-        idle.extend(reversed(passed_over))
+        idle.extend(reversed(skipped))
         return found
 
     async def _open(self, endpoint: ServiceEndpoint) -> EndpointConnection:
@@ -74,7 +74,7 @@
         return connection
 
     async def listens(self, endpoint: ServiceEndpoint) -> bool | None:
-        """Whether a new connection is taken or refused; None when nothing comes back."""
+        """Return whether the endpoint accepts a connection; None if nothing responds."""
         try:
             connection = await self._connect(endpoint)
         except (ConnectionRefusedError, ConnectionResetError):
@@ -86,34 +86,34 @@
         return True
 
     def release(self, endpoint: ServiceEndpoint, connection: EndpointConnection) -> None:
-        """Keep a connection whose exchange ended whole; close any other."""
+        """Keep a connection whose exchange is complete; close any other."""
         busy = self._busy.get(endpoint.instance, set())
         busy.discard(connection)
         if not busy:
             self._busy.pop(endpoint.instance, None)
         idle = self._idle.setdefault(endpoint.instance, deque())
         if not connection.finished or (
-            len(idle) >= self.most_idle and connection.control_calls_only
+            len(idle) >= self.max_idle and connection.control_calls_only
         ):
             connection.close()
             return
-        # Those that serve no requests any more would else keep the place of one that does.
-        while len(idle) >= self.most_idle:
+        # The oldest make room: connections only for control calls must not displace usable ones.
+        while len(idle) >= self.max_idle:
             idle.popleft().close()
         connection.idle_since_ms = monotonic_ms()
         idle.append(connection)
 
     def close_except(self, instances: set[StartId]) -> None:
-        """Close what belongs to endpoints that are gone."""
+        """Close idle connections to all other starts of endpoints."""
         for instance in [name for name in self._idle if name not in instances]:
             for connection in self._idle.pop(instance):
                 connection.close()
 
     def close_instance(self, instance: StartId) -> None:
-        """A later start has taken the place of this one: it answers nothing any more.
+        """Abort all exchanges with a start that a later one has replaced.
 
-        Without this, a request at an endpoint that went without a reset waits for its own time-out,
-        up to the deadline of its caller.
+        Otherwise a request to an endpoint that stopped without a reset would wait for its timeout,
+        up to its caller's deadline.
         """
         for connection in self._busy.pop(instance, ()):
             connection.abort_exchange(ExchangeErrorCause.RESTARTED)
@@ -121,8 +121,8 @@
             connection.close()
 
     def limit_idle(self, nodes: int, max_connections: int) -> None:
-        """Keep so few idle connections that all nodes leave half of an endpoint's free."""
-        self.most_idle = max(1, min(MAX_IDLE_CONNECTIONS, max_connections // (2 * max(1, nodes))))
+        """Limit idle connections so that all nodes together use half of an endpoint's maximum."""
+        self.max_idle = max(1, min(MAX_IDLE_CONNECTIONS, max_connections // (2 * max(1, nodes))))
 
     def close(self) -> None:
         """Close all idle connections."""
