--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -1,7 +1,7 @@
-"""Decides which answers wait when what is buffered for callers reaches the node's bound.
+"""Backpressure: decides which answers pause when buffered bytes reach the node's bound.
 
-The bound covers what was read from endpoints and has not left this process: bytes that wait for
-their relay, that are being written, and that the caller's connection has not taken yet.
+The bound covers bytes read from endpoints that are still in this process: waiting to be relayed,
+being written, or in the write buffer of the caller's connection.
 """
 
 from collections.abc import Sequence
@@ -19,16 +19,16 @@
 
 
 def buffer_bound(memory_bytes: int | None) -> int | None:
-    """The bound for a node with this memory limit; None where none is known."""
+    """Return the bound in bytes for a node's memory limit; None if it has none."""
     return None if memory_bytes is None else int(BUFFER_MEMORY_SHARE * memory_bytes)
 
 
 @attrs.frozen
 class BufferedAnswer:
-    """What is buffered of one answer.
+    """Buffer state of one answer.
 
-    `unread_since_ms`: since when its caller has taken nothing of what waits, None where nothing
-    waits. `endpoint_waits`: its endpoint is not read from at present; `may_wait`: it may be so.
+    `unread_since_ms`: since when its caller has read none of the buffered bytes, None if there are
+    none. `endpoint_paused`: reading from its endpoint is paused; `can_pause`: it may be paused.
     """
 
     key: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Decision:
-    """Answers whose endpoints are not to be read from, and those whose callers are to go."""
+    """Answers whose endpoints to pause, and answers whose callers to disconnect, by key."""
 
     paused: frozenset[int] = frozenset()
     disconnected: tuple[int, ...] = ()
@@ -48,9 +48,9 @@
 
 @attrs.define
 class BufferBound:
-    """One bound over all answers of a node. `reached` lasts until well below the bound.
+    """The bound over all answers of a node; `reached` is reset at the low watermark.
 
-    `margin_bytes` are left free for what is read between two decisions, half of the bound at most.
+    `margin_bytes`, at most half of the bound, stay free for bytes read between two decisions.
     """
 
     bound_bytes: int
@@ -62,22 +62,22 @@
         return max(self.bound_bytes // 2, self.bound_bytes - self.margin_bytes)
 
     def decide(self, answers: Sequence[BufferedAnswer], now_ms: int) -> Decision:
-        """What is to be done, from what is buffered now."""
+        """Decide which answers to pause and which callers to disconnect."""
         total_bytes = sum(answer.buffered_bytes for answer in answers)
         share = BUFFER_LOW_WATERMARK if self.reached else BUFFER_HIGH_WATERMARK
         self.reached = total_bytes >= share * self._usable_bytes
         paused = self._choose_paused(answers, total_bytes) if self.reached else frozenset()
-        disconnected = tuple(a.key for a in answers if self._reads_nothing(a, now_ms))
+        disconnected = tuple(a.key for a in answers if self._is_stalled(a, now_ms))
         return Decision(paused, disconnected)
 
     def next_check_bytes(self, total_bytes: int) -> float:
-        """At which total the next decision is due: half of what is left may be used until then."""
+        """Return the total at which the next decision is due: when half of the rest is used."""
         if not self.reached:
             return BUFFER_HIGH_WATERMARK * self._usable_bytes
         return total_bytes + max(0, self._usable_bytes - total_bytes) / 2
 
     def _choose_paused(self, answers: Sequence[BufferedAnswer], total_bytes: int) -> frozenset[int]:
-        """Those with the most bytes, until the others can double theirs within the bound."""
+        """Choose the largest answers until all others can double within the bound."""
         paused: set[int] = set()
         others_bytes = total_bytes
         can_pause = [answer for answer in answers if answer.can_pause]
@@ -88,8 +88,8 @@
             others_bytes -= answer.buffered_bytes
         return frozenset(paused)
 
-    def _reads_nothing(self, answer: BufferedAnswer, now_ms: int) -> bool:
-        """Whether a caller holds up an endpoint, or memory that others need, for too long."""
+    def _is_stalled(self, answer: BufferedAnswer, now_ms: int) -> bool:
+        """Return whether a caller that reads nothing has blocked an endpoint or memory too long."""
         if answer.unread_since_ms is None or not (answer.endpoint_paused or self.reached):
             return False
         return now_ms - answer.unread_since_ms >= UNREAD_TIMEOUT_MS
