--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -1,4 +1,4 @@
-"""Watches what is buffered for callers; pauses endpoints and disconnects callers by a bound."""
+"""Counts the bytes buffered for callers, and enforces the node's bound on them."""
 
 import logging
 from collections.abc import Callable
@@ -21,50 +21,50 @@
 
 
 class TrackedBody:
-    """The body of an answer on its way to the caller, and what is buffered of it."""
+    """The body of an answer that is relayed to a caller, and the count of its buffered bytes."""
 
     def __init__(self, buffers: "AnswerBuffers", request_id: str, reply: CallerReply):
         self.request_id = request_id
         self.reply = reply
         self.counted_bytes = 0
         self.unread_since_ms: int | None = None
-        self.held = False
+        self.reading_paused = False
         self._buffers = buffers
         self._body: AnswerBody | None = None
-        self._kept_bytes = 0
+        self._preread_bytes = 0
         self._connection: EndpointConnection | None = None
         self._writing_bytes = 0
         self._written_bytes = 0
-        self._taken_bytes = 0
+        self._read_bytes = 0
 
-    def set_preread_bytes(self, kept_bytes: int) -> None:
-        """So many bytes were taken from the exchange, and wait for the answer to begin."""
-        self._kept_bytes = kept_bytes
-        self._note()
+    def set_preread_bytes(self, preread_bytes: int) -> None:
+        """Record the bytes read from the exchange before the answer begins."""
+        self._preread_bytes = preread_bytes
+        self._update()
 
     def begin(self, body: AnswerBody) -> None:
-        """Status and headers are out; what was kept is about to be written."""
+        """Begin the body after the head was sent; the preread bytes are written next."""
         self._body = body
-        self._kept_bytes = 0
+        self._preread_bytes = 0
 
     def attach(self, exchange: Exchange) -> None:
-        """The next bytes come from this exchange."""
+        """Count the bytes of the exchange that supplies the body."""
         if self._buffers.bounded:
             self._connection = exchange.connection
-            self._connection.on_buffered_change = self._note
-            self._note()
+            self._connection.on_buffered_change = self._update
+            self._update()
 
     def detach(self) -> None:
-        """The exchange is over, or no longer passed on."""
+        """Stop counting the exchange, which is over or no longer relayed."""
         if self._connection is not None:
             self.set_reading_paused(False)
             self._connection.on_buffered_change = None
             self._connection = None
-            self._kept_bytes = 0
-            self._note()
+            self._preread_bytes = 0
+            self._update()
 
     async def write(self, data: bytes) -> None:
-        """Send a part."""
+        """Write a part of the body to the caller."""
         assert self._body is not None
         self._writing_bytes = len(data)
         try:
@@ -72,66 +72,66 @@
             self._written_bytes += len(data)
         finally:
             self._writing_bytes = 0
-            self._note()
+            self._update()
         if self._buffers.reached:
-            # Its endpoint may go on as soon as the caller has taken all, not at the next look.
+            # Resume the endpoint as soon as the caller has read everything, not at the next check.
             await self.reply.drain()
-            self._note()
+            self._update()
 
     async def finish(self) -> None:
-        """End it, so that the answer looks complete."""
+        """End the body, which marks the answer as complete."""
         assert self._body is not None
         await self._body.finish()
 
-    def set_reading_paused(self, held: bool) -> None:
-        """Read from the endpoint no further, or again."""
+    def set_reading_paused(self, reading_paused: bool) -> None:
+        """Pause or resume reading from the endpoint."""
         if self._connection is not None:
-            self.held = held
-            self._connection.set_reading_paused(held)
+            self.reading_paused = reading_paused
+            self._connection.set_reading_paused(reading_paused)
 
     @property
     def buffered_bytes(self) -> int:
-        """All bytes of it that are in this process."""
+        """Return the bytes of the answer that are in this process."""
         waiting_bytes = self._connection.buffered_bytes if self._connection else 0
-        return waiting_bytes + self._kept_bytes + self._writing_bytes + self.reply.buffered_bytes
+        return waiting_bytes + self._preread_bytes + self._writing_bytes + self.reply.buffered_bytes
 
     @property
     def can_pause(self) -> bool:
-        """Whether its endpoint may be held up: the answer needs no more bytes to begin."""
+        """Return whether reading may be paused: the answer can begin without more bytes."""
         return self._body is not None or self.counted_bytes >= MAX_PREREAD_BODY_BYTES
 
     @property
     def endpoint_paused(self) -> bool:
-        """Whether its endpoint is not read from at present."""
+        """Return whether reading from the endpoint is paused."""
         return self._connection is not None and self._connection.paused
 
     @property
     def unread(self) -> bool:
-        """Whether its exchange is over, and its caller has not taken all."""
+        """Return whether the exchange is over but the caller has not read everything."""
         return self._connection is None and self.counted_bytes > 0
 
     @property
-    def over(self) -> bool:
-        """Whether nothing of it is left to pass on."""
+    def done(self) -> bool:
+        """Return whether nothing is left to relay."""
         return self._connection is None and not self.counted_bytes
 
-    def look(self, now_ms: int) -> None:
-        """Note whether the caller has taken anything since the last look."""
-        taken_bytes = self._written_bytes - self.reply.unread_bytes
+    def update_unread(self, now_ms: int) -> None:
+        """Update since when the caller has read nothing."""
+        read_bytes = self._written_bytes - self.reply.unread_bytes
         if not self.buffered_bytes:
             self.unread_since_ms = None
-        elif self.unread_since_ms is None or taken_bytes > self._taken_bytes:
+        elif self.unread_since_ms is None or read_bytes > self._read_bytes:
             self.unread_since_ms = now_ms
-        self._taken_bytes = taken_bytes
+        self._read_bytes = read_bytes
 
-    def _note(self) -> None:
-        self._buffers.note(self)
+    def _update(self) -> None:
+        self._buffers.update(self)
 
 
 class AnswerBuffers:
-    """What is buffered of all answers of a node; without a bound bodies are only passed on.
+    """The buffered bytes of all answers of a node; without a bound nothing is counted.
 
-    An answer that was written whole counts until its caller has taken it.
+    A fully written answer counts until its caller has read it.
     """
 
     def __init__(
@@ -141,47 +141,47 @@
         self._bound = None if bound_bytes is None else BufferBound(bound_bytes, ENDPOINT_READ_BYTES)
         self._figures = figures
         self._now_ms = now_ms
-        # By the caller's connection: a later answer counts what is left of an earlier one.
+        # By caller's connection: a later answer includes the rest of an earlier one.
         self._answers: dict[int, TrackedBody] = {}
-        self._next_look_bytes = self._bound.next_check_bytes(0) if self._bound else 0.0
-        self._wanted = anyio.Event()
+        self._next_check_bytes = self._bound.next_check_bytes(0) if self._bound else 0.0
+        self._check_needed = anyio.Event()
         figures.register_gauge("saffronworks_buffered_bytes", lambda: [Level(self.total_bytes, {})])
 
     @property
     def bounded(self) -> bool:
-        """Whether the node has a memory limit, and so a bound."""
+        """Return whether the node has a memory limit, and so a bound."""
         return self._bound is not None
 
     @property
     def reached(self) -> bool:
-        """Whether the bound is reached."""
+        """Return whether the bound is reached."""
         return self._bound is not None and self._bound.reached
 
     def track(self, request_id: str, reply: CallerReply) -> TrackedBody:
-        """The body of an answer that is to begin."""
+        """Return a tracked body for a new answer."""
         return TrackedBody(self, request_id, reply)
 
-    def note(self, answer: TrackedBody) -> None:
-        """What is buffered of an answer has changed."""
+    def update(self, answer: TrackedBody) -> None:
+        """Update the count of an answer, and decide if the threshold is reached."""
         if self._bound is None:
             return
         self._count(answer)
-        if answer.held and not answer.counted_bytes:
-            # It may go on at once: its caller has taken all.
+        if answer.reading_paused and not answer.counted_bytes:
+            # The caller has read everything, so the endpoint may resume at once.
             answer.set_reading_paused(False)
-        if self.total_bytes >= self._next_look_bytes:
+        if self.total_bytes >= self._next_check_bytes:
             self._decide()
         else:
-            # Less is buffered than at the last decision: the next one is due earlier.
+            # Less may be buffered than at the last decision: the next one is then due earlier.
             next_check_bytes = self._bound.next_check_bytes(self.total_bytes)
-            self._next_look_bytes = min(self._next_look_bytes, next_check_bytes)
+            self._next_check_bytes = min(self._next_check_bytes, next_check_bytes)
         if self._bound.reached or answer.endpoint_paused or answer.unread:
-            self._wanted.set()
+            self._check_needed.set()
 
     async def run(self) -> None:
-        """Look at callers from time to time, while one of them leaves something unread."""
+        """Check callers periodically while any of them has unread bytes."""
         while True:
-            await self._wanted.wait()
+            await self._check_needed.wait()
             await anyio.sleep(BUFFER_CHECK_INTERVAL_MS / 1000)
             self._decide()
 
@@ -195,7 +195,7 @@
         buffered_bytes = answer.buffered_bytes
         self.total_bytes += buffered_bytes - answer.counted_bytes
         answer.counted_bytes = buffered_bytes
-        if answer.over:
+        if answer.done:
             del self._answers[key]
 
     def _decide(self) -> None:
@@ -203,7 +203,7 @@
         now_ms, was_reached = self._now_ms(), self._bound.reached
         for answer in list(self._answers.values()):
             self._count(answer)
-            answer.look(now_ms)
+            answer.update_unread(now_ms)
         buffered = [
             BufferedAnswer(
                 key,
@@ -215,7 +215,7 @@
             for key, answer in self._answers.items()
         ]
         decision = self._bound.decide(buffered, now_ms)
-        self._next_look_bytes = self._bound.next_check_bytes(self.total_bytes)
+        self._next_check_bytes = self._bound.next_check_bytes(self.total_bytes)
         if self._bound.reached != was_reached:
             self._log_change(len(decision.paused))
         for key, answer in list(self._answers.items()):
@@ -224,16 +224,16 @@
             self._disconnect(self._answers[key], now_ms)
         answers = self._answers.values()
         if not self._bound.reached and not any(a.endpoint_paused or a.unread for a in answers):
-            self._wanted = anyio.Event()
+            self._check_needed = anyio.Event()
 
     def _apply(self, answer: TrackedBody, paused: bool) -> None:
-        if paused and not answer.held:
+        if paused and not answer.reading_paused:
             self._figures.count_buffers("paused")
-        if paused != answer.held:
+        if paused != answer.reading_paused:
             answer.set_reading_paused(paused)
 
     def _disconnect(self, answer: TrackedBody, now_ms: int) -> None:
-        """End an answer that its caller does not read; what runs for it ends with it."""
+        """Disconnect a caller that does not read, which also ends the work for its answer."""
         assert answer.unread_since_ms is not None
         logger.info(
             "event=caller_disconnected request=%s reason=reads-nothing unread_ms=%d "
