--- a/saffronworks/forwarding/stream_runs.py
+++ b/saffronworks/forwarding/stream_runs.py
@@ -1,4 +1,4 @@
-"""One endpoint's run of a stream, read event by event."""
+"""One run of a stream at one endpoint, read event by event."""
 
 from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
 from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
@@ -9,10 +9,10 @@
 
 
 class StreamRun:
-    """Whatever an endpoint sent lives and ends with its run.
+    """The bytes that one endpoint sent for a stream.
 
-    So no byte of a run that broke, such as the start of an event, can stand in the answer of the
-    endpoint that is tried next.
+    Each run has its own buffer, so that no byte of a broken run, such as the start of an event, can
+    get into the answer of the next endpoint.
     """
 
     def __init__(self, exchange: Exchange):
@@ -21,28 +21,28 @@
         self._first: EventMark | None = None
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """The start of the answer; raises ExchangeError."""
+        """Return the head of the answer; raises ExchangeError."""
         return await self.exchange.head(timeout_ms)
 
     async def read_first(self, timeout_ms: float) -> EventMark | None:
-        """Wait for events to pass on, so that an early break can be mended; raises ExchangeError.
+        """Wait for the first events without consuming them; raises ExchangeError.
 
-        They stay the next ones. A whole answer may have none.
+        If this fails, the request can still be retried. A complete answer may have no events.
         """
         self._first = await self._next(timeout_ms)
         return self._first
 
     def resumes_after(self, sent: EventSequence) -> bool:
-        """Whether this run, whose first events are at hand, goes on right after what was sent.
+        """Return whether the run's first events resume directly after those sent.
 
-        One without events does where its endpoint told its end: then all was sent before.
+        A run without events does if its answer is framed: then all events were sent before.
         """
         if self._first is not None:
             return sent.continues(self._first.ids)
         return self.exchange.framed and not self.remainder()
 
     async def next_events(self, timeout_ms: float) -> EventMark | None:
-        """The next whole events, None at a good end; raises ExchangeError."""
+        """Return the next whole events, None at a regular end; raises ExchangeError."""
         if self._first is not None:
             first, self._first = self._first, None
             return first
@@ -58,5 +58,5 @@
         return None
 
     def remainder(self) -> bytes:
-        """What follows the last whole event at a good end, as the endpoint sent it."""
+        """Return the bytes after the last whole event at a regular end."""
         return self._splitter.remainder()
