--- a/saffronworks/forwarding/stream_relays.py
+++ b/saffronworks/forwarding/stream_relays.py
@@ -1,4 +1,4 @@
-"""The stream that one caller gets, from one run or from several that follow each other."""
+"""Relays a stream to one caller, from one run or from several consecutive ones."""
 
 import logging
 
@@ -22,7 +22,7 @@
 
 
 class StreamRelay:
-    """Sends the events of runs on, and knows what went out."""
+    """Relays the events of runs to a caller and records which were sent."""
 
     def __init__(self, node: NodeState, job: Job, state: GenerationState, tokens_per_event: int):
         self._node = node
@@ -37,25 +37,25 @@
 
     @property
     def last_event(self) -> int | None:
-        """The last event that the caller has, where its id is known."""
+        """Return the id of the last event that the caller has, if known."""
         return self._sent.last_id
 
     async def await_first(self, run: StreamRun, status: int) -> None:
-        """Wait until a run has something to pass on; raises ExchangeError.
+        """Wait for the first events of a run; raises ExchangeError.
 
-        A run that does not go on right after what the caller has, from us or from an answer before,
-        counts as broken: sent on, it would give the caller text twice, or leave some out, in a
-        stream that looks whole.
+        A run that does not resume directly after the caller's last event, from this or an earlier
+        answer, counts as failed: relaying it would repeat or omit text in a stream that looks
+        complete.
         """
         state, now_ms = self._state, self._node.now_ms()
         first = await run.read_first(max(1, state.deadline_at_ms - now_ms))
         self._pace_from = None
         if state.begun or (state.may_repeat and self.last_event is not None):
-            self._require_follows(run, first, status)
+            self._require_continuation(run, first, status)
         if first is not None and first.ids:
             self._pace_from = (first.ids[-1], self._node.now_ms())
 
-    def _require_follows(self, run: StreamRun, first: EventMark | None, status: int) -> None:
+    def _require_continuation(self, run: StreamRun, first: EventMark | None, status: int) -> None:
         resumes_after = self._status in (None, status) and run.resumes_after(self._sent)
         logger.info(
             "event=stream_continues request=%s after_event=%s first_event=%s framed=%s follows=%s",
@@ -69,21 +69,21 @@
             raise ExchangeError(ExchangeErrorCause.OUT_OF_ORDER, sent=True)
 
     async def start(self, head: AnswerHead) -> None:
-        """Send the head of the stream, without a length where another run may end it."""
+        """Send the head of the stream, without Content-Length if another run may complete it."""
         self._first_ms = self._node.now_ms()
         self._status = head.status
-        if self._may_go_on:
+        if self._may_resume:
             kept = tuple(field for field in head.headers if field[0].lower() != "content-length")
             head = attrs.evolve(head, headers=kept)
         self._body = await start_answer(self._node, self._job, head)
 
     async def send_events(self, run: StreamRun) -> None:
-        """Send on the events of a run to its good end, and end the answer; raises ExchangeError."""
+        """Relay a run's events to its regular end and finish the answer; raises ExchangeError."""
         assert self._body is not None
         self._body.attach(run.exchange)
         try:
-            while (mark := await run.next_events(self._pause_limit_ms())) is not None:
-                self._note(mark.ids)
+            while (mark := await run.next_events(self._stall_timeout_ms())) is not None:
+                self._record_events(mark.ids)
                 await self._body.write(mark.data)
             if run.remainder():
                 await self._body.write(run.remainder())
@@ -93,27 +93,27 @@
         self._node.quarantine.note_whole(self._job.request, run.exchange.framed)
         self._log_end(run)
 
-    def _note(self, ids: tuple[int, ...]) -> None:
+    def _record_events(self, ids: tuple[int, ...]) -> None:
         self._sent.record(ids)
         if ids:
             made_tokens = ids[-1] * self._tokens_per_event
             self._node.memory.progress(self._job.request.request_id, made_tokens)
 
     @property
-    def _may_go_on(self) -> bool:
-        """Whether another run may follow the one under way."""
+    def _may_resume(self) -> bool:
+        """Return whether another run may follow the current one."""
         return self._state.may_repeat and self._state.runs < self._state.max_attempts
 
-    def _pause_limit_ms(self) -> int:
-        """How long a stream may be silent: where it can't go on elsewhere, to its deadline."""
+    def _stall_timeout_ms(self) -> int:
+        """Return the longest silence of a run: up to the deadline if no other run may follow."""
         state, now_ms = self._state, self._node.now_ms()
         left_ms = max(1, state.deadline_at_ms - now_ms)
-        if self._may_go_on:
+        if self._may_resume:
             return min(left_ms, STALL_TIMEOUT_GAPS * self._job.route.gap_target_ms)
         return left_ms
 
     def pace(self) -> StreamPace:
-        """What the last stream showed; zeros where too little is known."""
+        """Return the pace of the last run, zeros if too few events were seen."""
         if self._pace_from is None or self.last_event is None:
             return StreamPace()
         from_event, from_ms = self._pace_from
