--- a/saffronworks/tests/features/steps/followers_steps.py
+++ b/saffronworks/tests/features/steps/followers_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on following the store: swarms of changes, cuts and silence."""
+"""Scenarios on following the store: bursts of changes, cut connections and timeouts."""
 
 import json
 import random
@@ -25,12 +25,12 @@
 from saffronworks.tests.revisions import at
 
 WAIT_MS = 1000
-# As the users' small sites have it: in touch after 3 s, and bound 2 s later.
+# As on the users' small sites: 3 s until a node is in contact, and 2 s more.
 KNOWN_WITHIN_MS = 5000
 SILENT = SourceFailure("ReadTimeout")
-# A listing takes 4 ms an answer, and a store that many ask at once some more.
+# A listing takes 4 ms per answer, and longer while many nodes call the store.
 LIST_ANEW_MS = 500
-# With less, watches are as short as they get, which is long enough for a poll.
+# With less time, watches have their minimum length, which suffices for polling.
 SHORTEST_KNOWN_MS = 2000
 
 
@@ -47,7 +47,7 @@
 
 
 class ChangingSource:
-    """A store with a change every few milliseconds."""
+    """A store that changes every few milliseconds."""
 
     def __init__(self):
         self.watches = 0
@@ -75,7 +75,7 @@
 
 
 @when("a follower hears thirty changes within half a second")
-def swarm(context):
+def burst_of_changes(context):
     context.source, context.sink = ChangingSource(), Sink()
 
     async def main():
@@ -103,15 +103,16 @@
 
 @then("the first is known at once, and few calls bring the others")
 def few_calls(context):
-    assert context.first, "the first change was not heard at once"
+    assert context.first, "the first change was not applied at once"
     assert context.sink.revisions[-1] == context.source.revision
     assert context.source.watches <= 6, context.source.watches
 
 
 class FailingSource:
-    """A store that lists an endpoint; a watch that fails once; and the listing without it.
+    """A store that lists an endpoint, fails one watch, and then lists no endpoint.
 
-    The watch fails after `gone_ms` on the clock, and so do `failing_lists`, a second each.
+    The watch fails after `gone_ms` of virtual time; then `failing_lists` listings fail, each after
+    a second.
     """
 
     def __init__(self, failure, gone_ms, failing_lists=0):
@@ -138,7 +139,7 @@
 
 
 def usable_for_ms(failure, gone_ms, failing_lists=0):
-    """How long an entry that is missing after the failure is still used, from its listing on."""
+    """Return how long an entry stays usable after the listing from which it is missing."""
     source, directory = FailingSource(failure, gone_ms, failing_lists), Directory()
 
     def clock():
@@ -153,8 +154,8 @@
             await follower.run()
 
     anyio.run(main)
-    heard_ms = source.now_ms
-    ends = (ms for ms in range(0, 10_000, 100) if not directory.usable("s", heard_ms + ms))
+    listed_ms = source.now_ms
+    ends = (ms for ms in range(0, 10_000, 100) if not directory.usable("s", listed_ms + ms))
     return next(ends)
 
 
@@ -169,7 +170,7 @@
 
 
 @then("a watch that was lost lets them be used no longer than what is known has to be followed")
-def no_longer(context):
+def within_bound(context):
     for gone_ms in range(LAPSE_AFTER_MS, 6000, 400):
         used_until_ms = gone_ms + usable_for_ms(SILENT, gone_ms)
         assert used_until_ms <= max(gone_ms, KNOWN_WITHIN_MS), (gone_ms, used_until_ms)
