--- a/saffronworks/tests/features/steps/census_steps.py
+++ b/saffronworks/tests/features/steps/census_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on the census of nodes, against a store that answers at once."""
+"""Scenarios on node discovery, against a store that answers at once."""
 
 import random
 from unittest.mock import AsyncMock, Mock
@@ -14,12 +14,12 @@
 from saffronworks.forwarding.store_revisions import StoreEpoch
 from saffronworks.tests.revisions import at
 
-# How long the scenario lets the node count.
+# How long the scenario runs the census.
 CENSUS_S = 0.2
 
 
 @when("a node enters itself in a store where others have entered before")
-def enters(context):
+def registers(context):
     entries = {
         "a": {"address": "10.0.0.1:1", "cores": 2.0},
         "b": {"address": "10.0.0.2:1", "cores": 1.0},
@@ -28,7 +28,7 @@
     store = Mock()
     store.create = AsyncMock(return_value=Ok(objects[1]))
     store.list_objects = AsyncMock(return_value=Ok(Listing(tuple(objects), at(2))))
-    context.counted = []
+    context.listed = []
 
     async def main():
         census = Census(
@@ -40,7 +40,7 @@
             random.Random(1),
             StoreEpoch(),
             monotonic_ms,
-            context.counted.append,
+            context.listed.append,
         )
         with anyio.move_on_after(CENSUS_S):
             await census.run()
@@ -49,8 +49,8 @@
 
 
 @then("it knows all of them at once, not only at the second count")
-def knows_at_once(context):
+def lists_at_once(context):
     assert CONSISTENT_LISTING_S > CENSUS_S
-    assert context.counted == [{"10.0.0.1:1": NodeInfo(2.0), "10.0.0.2:1": NodeInfo(1.0)}], (
-        context.counted
+    assert context.listed == [{"10.0.0.1:1": NodeInfo(2.0), "10.0.0.2:1": NodeInfo(1.0)}], (
+        context.listed
     )
