--- a/saffronworks/tests/connection_fakes.py
+++ b/saffronworks/tests/connection_fakes.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint without a socket: bytes go in, an answer comes out."""
+"""A connection to an endpoint without a socket, which tests feed with bytes."""
 
 from saffronworks.forwarding.connections import EndpointConnection
 
@@ -8,8 +8,8 @@
 WAIT_MS = 100
 
 
-class Wire:
-    """A transport that sends nowhere."""
+class FakeTransport:
+    """A transport that discards what is sent."""
 
     reads = True
 
@@ -31,12 +31,12 @@
 
 def connect():
     connection = EndpointConnection(ID_FIELD)
-    connection._transport = Wire()
+    connection._transport = FakeTransport()
     return connection
 
 
 async def receive(connection, data, awaited_id, bodiless=False):
-    """Send a request, take these bytes; the answer's head and body."""
+    """Send a request, receive `data`, and return the answer's head and body."""
     connection.send(b"", awaited_id, bodiless)
     connection.data_received(data)
     head = await connection.head(WAIT_MS)
