--- a/saffronworks/tests/zone_plays.py
+++ b/saffronworks/tests/zone_plays.py
@@ -1,4 +1,4 @@
-"""Many followers of one zone over a store and a network in this process."""
+"""Followers of one zone with a store and a network in this process."""
 
 import random
 
@@ -16,13 +16,13 @@
 
 __all__ = ["FOLLOW_WITHIN_MS", "KIND", "ZoneNode", "ZoneStore", "play_zone"]
 
-# Within how long each node has to know what changed.
+# Time within which each node has to know of a change.
 FOLLOW_WITHIN_MS = 1000
 KIND = "servers"
 
 
 class ZoneStore:
-    """A store of one kind, whose calls are counted and whose changes wake the watches."""
+    """A store of one kind that counts calls and wakes watches on changes."""
 
     def __init__(self):
         self.revision, self.epoch, self.calls = 1, 1, 0
@@ -39,7 +39,7 @@
         self._changed = anyio.Event()
 
     def restore(self, copy):
-        """Back to a copy, of the objects and the revision then; revisions are issued again."""
+        """Restore a copy of objects and revision; later revisions are issued again."""
         self.objects, self.revision = dict(copy[0]), copy[1]
         self.events.clear()
         self.epoch += 1
@@ -63,7 +63,7 @@
 
 
 class ZoneNode:
-    """One node: its follower, its feed, and faults; it is the source of its own follower."""
+    """A node with its follower, feed and faults; it is the source and sink of its follower."""
 
     def __init__(self, number, store, nodes):
         self.address = f"10.0.0.{number}:1"
@@ -81,7 +81,7 @@
             KIND, self, self, rng, monotonic_ms, 5000, 9000, self.epoch, self.feed
         )
 
-    # The network between nodes.
+    # Network between the nodes
 
     def post(self, name, message):
         if name != "peers":
@@ -91,15 +91,15 @@
             target.kernel.announce(message.message)
         return True
 
-    # The store, as the follower asks it.
+    # Source of the follower
 
     async def list_objects(self, kind, stale=False):
-        return await self._ask(None, 0)
+        return await self._call(None, 0)
 
     async def watch(self, kind, revision, wait_ms):
-        return await self._ask(revision, wait_ms)
+        return await self._call(revision, wait_ms)
 
-    async def _ask(self, revision, wait_ms):
+    async def _call(self, revision, wait_ms):
         if self.dead:
             await anyio.sleep_forever()
         if self.cut:
@@ -109,14 +109,14 @@
         if revision is None:
             self.epoch.observe(self.store.epoch)
             return Ok(self.store.listing())
-        heard = await self.store.since(revision, wait_ms)
+        answer = await self.store.since(revision, wait_ms)
         if self.cut:
             return Err(SourceFailure("ReadError", cut=True))
         if self.dead:
             await anyio.sleep(5)
-        return heard
+        return answer
 
-    # The sink of the follower.
+    # Sink of the follower
 
     def replace_all(self, listing, lapse_until_ms):
         self.known = {}
@@ -132,7 +132,7 @@
 
 
 def play_zone(count, play):
-    """Start nodes that know each other; `play(store, nodes)` acts, then all end."""
+    """Start `count` nodes that know each other, run `play(store, nodes)`, and stop them."""
 
     async def main():
         store, nodes = ZoneStore(), {}
