--- a/saffronworks/tests/slow_readers.py
+++ b/saffronworks/tests/slow_readers.py
@@ -1,4 +1,4 @@
-"""Large answers over loopback: a server that sends them, and callers that read at a given pace."""
+"""A server that sends large answers over loopback, and callers that read at a given rate."""
 
 import asyncio
 import socket
@@ -6,16 +6,16 @@
 from saffronworks.tests.platform_fakes import FakeServer
 
 PART_BYTES = 65_536
-# A server cuts an answer of which nothing was read for so long.
+# The server aborts an answer of which nothing was read for this long.
 CUT_AFTER_S = 8.0
-# Small, so that what a caller leaves unread stays with the node.
+# Small, so that bytes that a caller does not read stay in the node.
 CALLER_BUFFER_BYTES = 16_384
-# A caller that reads nothing is to be disconnected well before.
-MOST_IDLE_S = 12.0
+# Most time that a caller reads nothing; the node disconnects it earlier.
+MAX_IDLE_S = 12.0
 
 
 class LargeServer(FakeServer):
-    """Answers with as many bytes as the last part of the path names."""
+    """Answers with the number of bytes in the last part of the path."""
 
     def __init__(self, instance, service):
         super().__init__(instance, service)
@@ -40,7 +40,7 @@
 
 
 class Reader:
-    """One caller; `part_bytes` every `pause_s`, nothing where `part_bytes` is 0."""
+    """A caller that reads `part_bytes` every `pause_s`, or nothing if `part_bytes` is 0."""
 
     def __init__(self, address, request_id, size_bytes, part_bytes=PART_BYTES, pause_s=0.0):
         self.request_id = request_id
@@ -57,7 +57,7 @@
         return self.received_bytes > self._size_bytes
 
     async def run(self, until):
-        """Read to the end, or as long as `until()` says."""
+        """Read to the end; a caller that reads nothing first waits for `until()`."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         sock = socket.socket()
@@ -76,7 +76,7 @@
         sock.close()
 
     async def _read(self, loop, sock, until):
-        ends_s = loop.time() + MOST_IDLE_S
+        ends_s = loop.time() + MAX_IDLE_S
         while not self._part_bytes and not until() and loop.time() < ends_s:
             await asyncio.sleep(0.05)
         while data := await loop.sock_recv(sock, self._part_bytes or PART_BYTES):
