--- a/saffronworks/tests/fake_store.py
+++ b/saffronworks/tests/fake_store.py
@@ -10,7 +10,7 @@
 __all__ = ["SLOW_S", "FakeStore"]
 
 PAGE = 3
-# How much longer each answer of a slow store takes.
+# Delay of each answer of a slow store.
 SLOW_S = 0.3
 
 
@@ -22,7 +22,7 @@
         self.address = "{}:{}".format(*self._listener.getsockname()[:2])
         self.revision = 1
         self.oldest = 0
-        # How often it was restored; None leaves the field out of its answers.
+        # Epoch, incremented by each restore; None omits the field from answers.
         self.era = 1
         self.objects = {}
         self.events = []
@@ -36,13 +36,13 @@
     def put(self, kind, name, spec):
         self.revision += 1
         self.objects[kind, name] = (self.revision, spec)
-        self._tell(kind, name, removed=False)
+        self._record_event(kind, name, removed=False)
 
     def remove(self, kind, name):
         if (kind, name) in self.objects:
             self.revision += 1
             _, spec = self.objects[kind, name]
-            self._tell(kind, name, removed=True)
+            self._record_event(kind, name, removed=True)
             del self.objects[kind, name]
             assert spec is not None
 
@@ -52,16 +52,16 @@
         self._wake()
 
     def snapshot(self):
-        """A copy to restore from."""
+        """Return a copy to restore from."""
         return self.revision, dict(self.objects)
 
     def restore(self, copy):
-        """Lose all writes since the copy; their revisions are issued again."""
+        """Revert all writes since the copy; their revisions are issued again."""
         self.revision, self.objects = copy[0], dict(copy[1])
         self.era += 1
         self.forget_history()
 
-    def _tell(self, kind, name, removed):
+    def _record_event(self, kind, name, removed):
         self.events.append((self.revision, kind, name, removed, self._show(kind, name)))
         self._wake()
 
