--- a/saffronworks/tests/features/connections.feature
+++ b/saffronworks/tests/features/connections.feature
@@ -1,22 +1,22 @@
-Feature: what an endpoint sends belongs to one request
+Feature: answers on a connection are matched to their requests
 
-  Scenario: an answer that came twice is not taken for that of a call without an id
-    When an answer comes once more in place of the next one, which is a call of the router's own
-    Then that call gets its own answer, and the connection is not used again
+  Scenario: a duplicate answer is not taken for the answer to a call without an id
+    When a duplicate of the previous answer arrives before the answer to a control call
+    Then the control call gets its own answer, and the connection is not reused
 
-  Scenario: fields after a body are none of the head
-    When an answer in chunks has a signature after its body
-    Then its head has none
+  Scenario: trailer fields are not part of the head
+    When a chunked answer has a trailer after its body
+    Then its head does not contain the trailer field
 
-  Scenario: a body after the head that was asked for spoils the connection
-    When an endpoint answers a request for the head with a part of a body
-    Then the connection is not used again
+  Scenario: a body in the answer to a HEAD request makes the connection unusable
+    When an endpoint answers a HEAD request with a part of a body
+    Then the connection is not reused
 
-  Scenario: a late copy of a refusal without an id is taken for no request's answer
+  Scenario: a late duplicate of a refusal without an id is not taken for the answer to another request
     When a request is answered without an id
-    Then the connection is not used again
-    And one on which a call of the router's own was refused serves such calls only
+    Then the connection is not reused
+    And a connection on which a control call was refused serves only control calls
 
-  Scenario: a connection that is not read from
-    Then an endpoint that this node does not read from does not count as silent
-    And a connection that was left paused is read from again for the next request
+  Scenario: reading from a connection is paused
+    Then an endpoint does not count as silent while reading from it is paused
+    And a paused connection resumes reading for the next request
--- a/saffronworks/tests/features/steps/connections_steps.py
+++ b/saffronworks/tests/features/steps/connections_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on one connection to an endpoint: what came belongs to whom; no sockets."""
+"""Scenarios on one connection to an endpoint: matching answers to requests, without sockets."""
 
 import asyncio
 
@@ -18,8 +18,8 @@
 HEAD_WITH_BODY = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 9\r\n\r\nown"
 
 
-@when("an answer comes once more in place of the next one, which is a call of the router's own")
-def extra_for_control(context):
+@when("a duplicate of the previous answer arrives before the answer to a control call")
+def duplicate_before_control(context):
     async def play():
         context.connection = connect()
         await receive(context.connection, OWN, "r1")
@@ -29,13 +29,13 @@
     anyio.run(play)
 
 
-@then("that call gets its own answer, and the connection is not used again")
-def own_answer(context):
+@then("the control call gets its own answer, and the connection is not reused")
+def control_answer(context):
     assert (context.head.status, context.body) == (503, b"hold"), (context.head, context.body)
     assert not context.connection.finished
 
 
-@when("an answer in chunks has a signature after its body")
+@when("a chunked answer has a trailer after its body")
 def trailer(context):
     async def play():
         context.head, context.body = await receive(connect(), IN_CHUNKS + TRAILER, "r1")
@@ -43,12 +43,12 @@
     anyio.run(play)
 
 
-@then("its head has none")
-def head_without(context):
+@then("its head does not contain the trailer field")
+def head_without_trailer(context):
     assert context.body == b"own" and context.head.get("server-stamp") is None, context.head
 
 
-@when("an endpoint answers a request for the head with a part of a body")
+@when("an endpoint answers a HEAD request with a part of a body")
 def body_after_head(context):
     async def play():
         context.connection = connect()
@@ -58,8 +58,8 @@
     anyio.run(play)
 
 
-@then("the connection is not used again")
-def not_used_again(context):
+@then("the connection is not reused")
+def not_reused(context):
     assert not context.connection.finished
 
 
@@ -72,9 +72,9 @@
     anyio.run(play)
 
 
-@then("one on which a call of the router's own was refused serves such calls only")
-def control_calls_only(context):
-    """A copy of the refusal, taken for a request's answer, would say that it has not run."""
+@then("a connection on which a control call was refused serves only control calls")
+def serves_control_calls(context):
+    """Guards against a duplicate of the refusal that counts as a request's answer: not run."""
 
     async def play():
         pool, (endpoint,) = ConnectionPool("Request-Id"), endpoints(1)
@@ -93,9 +93,9 @@
     anyio.run(play)
 
 
-@then("an endpoint that this node does not read from does not count as silent")
-def held_is_not_silent(context):
-    """Guards against streams that go on elsewhere because their own caller reads slowly."""
+@then("an endpoint does not count as silent while reading from it is paused")
+def paused_is_not_silent(context):
+    """Guards against streams that are resumed elsewhere because their caller reads slowly."""
 
     async def play():
         connection = connect()
@@ -107,17 +107,17 @@
         connection.set_reading_paused(False)
         try:
             await connection.next_chunk(timeout_ms=10)
-        except ExchangeError as broken:
-            assert broken.cause is ExchangeErrorCause.SILENT
+        except ExchangeError as error:
+            assert error.cause is ExchangeErrorCause.SILENT
         else:
-            raise AssertionError("no break")
+            raise AssertionError("no ExchangeError was raised")
 
     anyio.run(play)
 
 
-@then("a connection that was left paused is read from again for the next request")
-def paused_is_read_again(context):
-    """A whole answer above the bound, left unread, paused the connection for good."""
+@then("a paused connection resumes reading for the next request")
+def resumes_reading(context):
+    """Guards against a connection that stays paused after a complete answer above the bound."""
 
     async def play():
         connection = connect()
