--- a/saffronworks/tests/features/steps/restored_state_steps.py
+++ b/saffronworks/tests/features/steps/restored_state_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on what is kept and written again after a restore of the store; no network."""
+"""Scenarios on state kept and written again after a restore of the store, without a network."""
 
 import attrs
 from behave import given, then, when
@@ -14,12 +14,12 @@
 from saffronworks.tests.quarantine_plays import DEADLY, fleet_that_knows
 from saffronworks.tests.revisions import at
 
-# When a store is restored, on virtual time.
+# Virtual time of the restore.
 RESTORED_MS = 9000
 
 
-@given("a directory from which an entry went before the store was restored from a copy with it")
-def entry_went(context):
+@given("a directory without an entry that is in the copy from which the store is restored")
+def entry_removed(context):
     def make(draining=False):
         directory = Directory()
         endpoint = attrs.evolve(endpoints(1)[0], draining=draining)
@@ -32,13 +32,13 @@
 
 
 def restore_entry(directory, endpoint, revision):
-    heard = directory.put_listed(endpoint, revision, now_ms=2000)
+    update = directory.put_listed(endpoint, revision, now_ms=2000)
     directory.remove_missing({endpoint.name}, at(7, epoch=2), now_ms=2000)
-    return heard
+    return update
 
 
-@then("it is left unused as long as it is the old entry, for six seconds at most")
-def left_unused(context):
+@then("the old entry is not used for six seconds")
+def not_used(context):
     directory, endpoint = context.make_directory()
     assert restore_entry(directory, endpoint, at(5, epoch=2)) is EntryUpdate.WITHHELD
     later_ms = 2000 + WITHHOLD_RESTORED_MS
@@ -54,7 +54,7 @@
     assert directory.usable("s", 2500) == [endpoint]
 
 
-@then("one that was draining when it went drains when it is back")
+@then("an entry that was draining when it was removed is draining when it is back")
 def drains_back(context):
     directory, endpoint = context.make_directory(draining=True)
     restore_entry(directory, endpoint, at(5, epoch=2))
@@ -62,7 +62,7 @@
     assert directory.named(endpoint.name).draining
 
 
-@then("one that the restored store removes again stays gone")
+@then("an entry that the restored store removes again stays removed")
 def removed_again(context):
     directory, endpoint = context.make_directory()
     restore_entry(directory, endpoint, at(5, epoch=2))
@@ -86,31 +86,31 @@
         roles.step(state, roles.StoreRestored(), RESTORED_MS)
 
 
-def first_ask(state, engines, from_ms):
-    """The command by which a node asks for the duty, and when."""
+def first_command(state, engines, from_ms):
+    """Return a node's first command after `from_ms`, and its time."""
     for now_ms in range(from_ms, from_ms + 60_000, 100):
         command = roles.step(state, roles.Look(engines), now_ms)
         if command is not None:
             return command, now_ms
-    raise AssertionError("never asked")
+    raise AssertionError("the node issued no command")
 
 
 @then("the holder claims it again, and orders only after a lease, with a higher fence")
 def claims_again(context):
-    command, asked_ms = first_ask(context.holder, context.engines, RESTORED_MS)
+    command, asked_ms = first_command(context.holder, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None) and asked_ms < RESTORED_MS + 6000
     reply = _read_duty(Ok(StoredObject("s", at(40, epoch=2), b"")), None, mine=True)
     assert roles.step(context.holder, reply, asked_ms) is None
-    _, again_ms = first_ask(context.holder, context.engines, asked_ms)
+    _, again_ms = first_command(context.holder, context.engines, asked_ms)
     assert again_ms >= asked_ms + 3300
     reply = _read_duty(Ok(StoredObject("s", at(44, epoch=2), b"")), at(40, epoch=2), mine=True)
     order = roles.step(context.holder, reply, again_ms)
     assert order.fence > at(900).fence
 
 
-@then("the other one does not ask for it until all earlier orders are over")
+@then("the other one does not request it until all earlier orders have expired")
 def other_waits(context):
-    command, asked_ms = first_ask(context.other, context.engines, RESTORED_MS)
+    command, asked_ms = first_command(context.other, context.engines, RESTORED_MS)
     assert command == roles.TakeDuty(None)
     assert asked_ms >= RESTORED_MS + roles.ORDER_OPEN_MS
 
@@ -123,7 +123,7 @@
     assert _read_duty(written, None, mine=False) == roles.DutyTaken(at(41, 2), False)
 
 
-@then("owners write what is quarantined again, and remove again what was cleared")
+@then("owners write records of quarantined content again, and remove again what was cleared")
 def recorded_again(context):
     fleet = fleet_that_knows()
     assert fleet.stored
--- a/saffronworks/tests/features/steps/store_restore_steps.py
+++ b/saffronworks/tests/features/steps/store_restore_steps.py
@@ -13,13 +13,13 @@
 from saffronworks.tests.log_lines import LogLines
 from saffronworks.tests.platform_place import CONFIG, make_route, on_platform, web_servers
 
-# Changes within which a node has to be in force, and what is added for a busy machine.
+# Time within which nodes have to apply a change, and an allowance for a busy machine.
 FOLLOW_S, SLACK_S = 2.0, 0.5
-# Writes that a restore takes back, and writes after it that pass their revisions again.
+# Writes that a restore reverts, and later writes whose revisions exceed theirs.
 LOST_WRITES, MORE_WRITES = 6, 9
-ASKS = 12
-# Within this time after a restore all nodes have entered again.
-ENTERED_AGAIN_S = 5.0
+REQUESTS = 12
+# Time after a restore within which all nodes have to register again.
+REGISTERED_AGAIN_S = 5.0
 
 
 @given("two nodes that know more revisions than a copy of the store has")
@@ -29,13 +29,13 @@
 
 
 def write_others(store, count):
-    """Writes of a kind that no node follows."""
+    """Write objects of a kind that no node follows."""
     for number in range(count):
         store.put("others", f"o{store.revision}-{number}", {})
 
 
 async def lose_writes(place):
-    """A copy, and a change after it that both nodes know."""
+    """Return a copy of the store, after changes that it lacks and both nodes know."""
     copy = place.store.snapshot()
     write_others(place.store, LOST_WRITES)
     lost = place.servers["w1"].entry() | {"version": "lost"}
@@ -45,10 +45,10 @@
     return copy
 
 
-async def reached_by_asks(place, server):
-    """How many of some requests to each node reach a server."""
+async def count_reached(place, server):
+    """Return how many of `REQUESTS` requests, alternating over the nodes, reach a server."""
     before = len(server.seen)
-    for number in range(ASKS):
+    for number in range(REQUESTS):
         node = place.nodes[number % len(place.nodes)]
         raw = await place.ask("/again/", f"a{number}", node=node)
         assert raw.startswith(b"HTTP/1.1 200"), raw
@@ -75,26 +75,26 @@
     assert context.statuses == [200, 200], context.statuses
 
 
-@when("an endpoint drains before the restored store has passed the revision known before")
+@when("an endpoint drains before the restored store has passed the revision that nodes know")
 def drains_below(context):
     async def play(place):
         copy = await lose_writes(place)
         store, name = place.store, context.draining.instance
-        # Nobody sees the store while its revisions are lower than those known.
+        # The store is unavailable while its revisions are lower than those that nodes know.
         store.fault = "busy"
         store.restore(copy)
         store.put("servers", name, context.draining.entry("draining"))
         write_others(store, MORE_WRITES)
         store.fault = None
         await anyio.sleep(FOLLOW_S + SLACK_S)
-        context.reached = await reached_by_asks(place, context.draining)
+        context.reached = await count_reached(place, context.draining)
 
     on_platform(context.servers_used, play, count=2)
 
 
 @then("two seconds later no request reaches that endpoint")
 @then("no request reaches that endpoint")
-def gets_nothing(context):
+def not_reached(context):
     assert context.reached == 0, context.reached
 
 
@@ -107,10 +107,10 @@
         assert await wait_until(lambda: all(known_to_drain(n) for n in place.nodes), FOLLOW_S)
         place.store.restore(copy)
         write_others(place.store, MORE_WRITES)
-        # Nodes have to list again.
+        # Forces the nodes to list again.
         place.store.forget_history()
         await anyio.sleep(FOLLOW_S)
-        context.reached = await reached_by_asks(place, draining)
+        context.reached = await count_reached(place, draining)
 
     def known_to_drain(node):
         known = node._directory.named(context.draining.instance)
@@ -119,8 +119,8 @@
     on_platform(context.servers_used, play, count=2)
 
 
-@then("they are taken to be of the newest epoch known, and each odd value is logged once")
-def odd_epochs(context):
+@then("they count as answers of the newest known epoch, and each malformed value is logged once")
+def malformed_epochs(context):
     async def main():
         store, epoch = FakeStore(), StoreEpoch()
         store.era = 3
@@ -128,10 +128,12 @@
             tasks.start_soon(store.run)
             client = PlatformStore(store.address, epoch)
             assert (await client.list_objects("k")).ok_value.revision.epoch == 3
-            for odd in (None, "", "x", "-4", "4.0", "9" * 5000, "\u00b2"):
-                store.era = odd
+            for malformed_value in (None, "", "x", "-4", "4.0", "9" * 5000, "\u00b2"):
+                store.era = malformed_value
                 for _ in range(2):
-                    assert (await client.list_objects("k")).ok_value.revision.epoch == 3, odd
+                    assert (await client.list_objects("k")).ok_value.revision.epoch == 3, (
+                        malformed_value
+                    )
             await client.close()
             tasks.cancel_scope.cancel()
 
@@ -141,7 +143,7 @@
     assert len(malformed) == 6, malformed
 
 
-@when("the store is restored from a copy made before two of three nodes entered")
+@when("the store is restored from a copy made before two of three nodes registered")
 def nodes_lost(context):
     async def play(place):
         store = place.store
@@ -158,7 +160,7 @@
         first = next(key for key in copy if key[0] == NODE_KIND)
         store.restore((copy_revision - 2, kept | {first: copy[first]}))
         context.counts = []
-        with anyio.move_on_after(ENTERED_AGAIN_S):
+        with anyio.move_on_after(REGISTERED_AGAIN_S):
             while True:
                 context.counts += counted()
                 await anyio.sleep(0.1)
@@ -167,18 +169,18 @@
     on_platform(web_servers(), play, count=3)
 
 
-@then("all nodes have entered again within five seconds")
-def entered_again(context):
+@then("all nodes have registered again within five seconds")
+def registered_again(context):
     assert context.entered == 3, context.entered
 
 
-@then("no node counted fewer than three meanwhile")
+@then("no node counts fewer than three nodes meanwhile")
 def counted_all(context):
     assert min(context.counts) == 3, min(context.counts)
 
 
 def list_while(change):
-    """A listing of two pages with `change(store)` between them; the changes that a watch adds."""
+    """Run `change(store)` between two pages of a listing; return names in the next watch."""
 
     async def main():
         store = FakeStore()
@@ -208,12 +210,12 @@
     return anyio.run(main)
 
 
-@then("a change to an earlier page is in the watch after it")
+@then("the next watch contains a change to an earlier page")
 def earlier_page(context):
     assert list_while(lambda store: store.put("k", "n0", {"changed": 1})) == ["n0"]
 
 
-@then("pages of different epochs are no listing")
+@then("pages of different epochs are rejected")
 def pages_of_epochs(context):
     failure = list_while(lambda store: store.restore(store.snapshot()))
     assert isinstance(failure, SourceFailure), failure
