--- a/saffronworks/tests/features/steps/slow_readers_steps.py
+++ b/saffronworks/tests/features/steps/slow_readers_steps.py
@@ -28,41 +28,44 @@
     context.bound = BufferBound(BOUND_BYTES)
 
 
-@then("below three quarters of the bound no answer waits")
-def none_waits(context):
+@then("below three quarters of the bound no answer is paused")
+def none_paused(context):
     decision = context.bound.decide(answers(700, 49), 0)
     assert not decision.paused and not context.bound.reached, decision
 
 
-@then("at the bound those with the most bytes wait, and others go on")
+@then("at the bound those with the most bytes are paused, and the others continue")
 def most_first(context):
-    """Guards against fast readers that wait because another caller reads nothing."""
+    """Guards against fast readers that are paused because another caller reads nothing."""
     decision = context.bound.decide(answers(10, 500, 20, 250, 0), 0)
     assert decision.paused == {1, 3}, decision
 
 
-@then("beyond the bound every answer that has bytes waits")
+@then("beyond the bound every answer with buffered bytes is paused")
 def beyond(context):
     decision = context.bound.decide(answers(600, 0, 1, 500), 0)
     assert decision.paused == {0, 2, 3}, decision
 
 
-@then("whatever is buffered, those that go on can double it within the bound")
+@then("the answers that continue can always double their bytes within the bound")
 def can_double(context):
     @forall(st.lists(st.integers(0, 600), max_size=12))
     def check(buffered):
         bound = BufferBound(BOUND_BYTES)
         paused = bound.decide(answers(*buffered), 0).paused
-        going = [size for key, size in enumerate(buffered) if key not in paused]
-        if bound.reached and any(going):
-            assert sum(buffered) + sum(going) <= BOUND_BYTES, (buffered, paused)
-        waiting = [buffered[key] for key in paused]
-        assert not waiting or min(waiting) >= max(going, default=0), (buffered, paused)
+        continuing = [size for key, size in enumerate(buffered) if key not in paused]
+        if bound.reached and any(continuing):
+            assert sum(buffered) + sum(continuing) <= BOUND_BYTES, (buffered, paused)
+        paused_bytes = [buffered[key] for key in paused]
+        assert not paused_bytes or min(paused_bytes) >= max(continuing, default=0), (
+            buffered,
+            paused,
+        )
 
     check()
 
 
-@then("answers wait until half of the bound is free again")
+@then("answers are paused until half of the bound is free again")
 def hysteresis(context):
     bound = BufferBound(BOUND_BYTES)
     reached = []
@@ -72,21 +75,21 @@
     assert reached == [False, True, True, True, False, False], reached
 
 
-@then("it is disconnected once it has left its endpoint waiting for the whole limit")
+@then("it is disconnected once its endpoint was paused for the whole timeout")
 def disconnected(context):
     waits = [BufferedAnswer(1, 300, 100, True), BufferedAnswer(2, 300, 101, True)]
     assert not context.bound.decide(waits, 99 + UNREAD_TIMEOUT_MS).disconnected
     assert context.bound.decide(waits, 100 + UNREAD_TIMEOUT_MS).disconnected == (1,)
 
 
-@then("while the bound is not reached one that holds up no endpoint stays")
-def stays(context):
+@then("below the bound a caller that blocks no endpoint stays connected")
+def stays_connected(context):
     late_ms = 2 * UNREAD_TIMEOUT_MS
     assert not context.bound.decide([BufferedAnswer(1, 300, 0)], late_ms).disconnected
     assert context.bound.decide([BufferedAnswer(1, 800, 0)], late_ms).disconnected == (1,)
 
 
-@then("settings that name no memory limit or no slow readers give no bound, others an eighth of it")
+@then("settings without a memory limit or slow readers give no bound, others an eighth of it")
 def by_settings(context):
     whole = json.loads(settings_text("127.0.0.1:1"))
     fast_readers = read_platform_settings(json.dumps(whole), "f").ok_value
@@ -139,7 +142,7 @@
     on_platform([server], play, config=config, limits=limits, contracts=["pressure"])
 
 
-@then("the fast caller's answer is whole and quick, and the slow one's is whole")
+@then("the fast caller's answer is complete and quick, and the slow one's is complete")
 def whole(context):
     assert context.fast.whole and context.fast.took_s < 3, vars(context.fast)
     assert context.slow.whole and context.slow.took_s > 5, vars(context.slow)
