--- a/saffronworks/tests/features/steps/suspension_steps.py
+++ b/saffronworks/tests/features/steps/suspension_steps.py
@@ -1,4 +1,4 @@
-"""Scenarios on a VM that is suspended: its clocks as they are then, in this process."""
+"""Scenarios on a suspended VM, simulated by the clocks of this process."""
 
 import re
 import time
@@ -19,19 +19,20 @@
 from saffronworks.tests.endpoint_plays import endpoints
 
 SUSPENDED_S = 30
-# A node has periodic work at this pace at least, so that its event loop looks at the time.
+# A node has periodic work at least this often, so that its event loop reads the clock.
 TICK_S = 0.02
 CLOCKS = re.compile(
     r"time\.(monotonic|perf_counter|time|clock_gettime)(_ns)?\(|asyncio\.run\(|anyio\.run\("
 )
-# Stand-ins and tests play the outside; the wall time of an answer's `created` field is no span.
+# Stand-ins and tests are not part of the product. The wall time of an answer's `created` field is
+# not used to measure a duration.
 OUTSIDE = ("tests", "standins")
 WALL_TIME = '"created": int(time.time())'
 
 
 @contextmanager
 def suspended(for_s):
-    """From here on the clocks that count a suspension are so much ahead of the others."""
+    """Advance the clocks that include suspensions by `for_s` within the context."""
     read_s, read_ns = time.clock_gettime, time.clock_gettime_ns
 
     def ahead_s(clock):
@@ -56,14 +57,14 @@
         context.idle = context.pool._find_idle(context.endpoint)
 
 
-@then("the steady clock of its node shows them")
+@then("the clock of its node includes them")
 def clock_shows(context):
     passed_ms = context.after_ms - context.before_ms
     assert SUSPENDED_S * 1000 <= passed_ms < SUSPENDED_S * 1000 + 500, passed_ms
 
 
-@then("a duty, a plan and a resting connection of its node are over")
-def all_over(context):
+@then("a duty, a plan and an idle connection of its node have expired")
+def all_expired(context):
     before_ms, after_ms = context.before_ms, context.after_ms
     state = role_core.RoleState("n", 3000, 300)
     role_core.step(state, role_core.DutyTaken(7, took_over=False), before_ms)
@@ -72,8 +73,8 @@
     plan.heard_ms = before_ms
     assert plan.whole(before_ms)
     plan_step(plan, Tick(), {}, after_ms)
-    assert not plan.whole(after_ms), "what nodes did meanwhile is not known"
-    assert context.idle is None, "the endpoint has closed it long ago"
+    assert not plan.whole(after_ms), "the plan is used although it missed the suspension"
+    assert context.idle is None, "the connection is reused although the endpoint has closed it"
 
 
 @when("a VM is suspended for 30 seconds while a node waits for 30")
@@ -90,12 +91,12 @@
         clocks.run(main)
 
 
-@then("the wait is over at once")
+@then("the wait ends at once")
 def wait_over(context):
     assert context.took_s < 1, context.took_s
 
 
-@then("no module of the product but the clocks asks for the time, or runs another event loop")
+@then("no module of the product except clocks.py reads a clock or starts an event loop")
 def one_clock(context):
     root = Path(saffronworks.__file__).parent
     found = []
