--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -1,17 +1,17 @@
-"""The connections of a node to endpoints: idle ones to use again, busy ones to end."""
+"""The pool of a node's connections to endpoints, idle and busy."""
 
 import asyncio
 import logging
 from collections import deque
 
 from saffronworks.clocks import monotonic_ms
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.connections import EndpointConnection
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     CONNECT_TIMEOUT_MS,
-    MOST_IDLE,
+    MAX_IDLE_CONNECTIONS,
 )
 from saffronworks.web import parse_address
 
@@ -21,46 +21,48 @@
 
 
 class ConnectionPool:
-    """Connections by start of an endpoint, since an address may pass to another one."""
+    """Connections by start of an endpoint, because another endpoint may reuse its address."""
 
     def __init__(self, id_field: str):
         self._id_field = id_field
         self._idle: dict[StartId, deque[EndpointConnection]] = {}
         self._busy: dict[StartId, set[EndpointConnection]] = {}
-        self.most_idle = MOST_IDLE
+        self.max_idle = MAX_IDLE_CONNECTIONS
 
-    async def take(self, endpoint: ServiceEndpoint, own_call: bool = False) -> EndpointConnection:
-        """An idle connection, else a new one; Break when none can be opened.
+    async def acquire(
+        self, endpoint: ServiceEndpoint, control_call: bool = False
+    ) -> EndpointConnection:
+        """Return an idle connection or open one; raises ExchangeError if that fails.
 
-        `own_call`: for a call of the router's own, not for a request.
+        `control_call`: for a call of the router itself, not for a caller's request.
         """
-        connection = self._find_idle(endpoint, own_call) or await self._open(endpoint)
+        connection = self._find_idle(endpoint, control_call) or await self._open(endpoint)
         self._busy.setdefault(endpoint.instance, set()).add(connection)
         return connection
 
     def _find_idle(
-        self, endpoint: ServiceEndpoint, own_call: bool = False
+        self, endpoint: ServiceEndpoint, control_call: bool = False
     ) -> EndpointConnection | None:
         idle = self._idle.get(endpoint.instance, deque())
-        passed_over: list[EndpointConnection] = []
+        skipped: list[EndpointConnection] = []
         found = None
         while idle and found is None:
             connection = idle.pop()
-            rested_ms = monotonic_ms() - connection.idle_since_ms
-            if not connection.reusable or rested_ms >= connection.keep_ms:
+            idle_ms = monotonic_ms() - connection.idle_since_ms
+            if not connection.reusable or idle_ms >= connection.keep_alive_ms:
                 connection.close()
-            elif connection.own_calls_only and not own_call:
-                passed_over.append(connection)
+            elif connection.control_calls_only and not control_call:
+                skipped.append(connection)
             else:
                 found = connection
-        idle.extend(reversed(passed_over))
+        idle.extend(reversed(skipped))
         return found
 
     async def _open(self, endpoint: ServiceEndpoint) -> EndpointConnection:
         try:
             return await self._connect(endpoint)
         except (OSError, TimeoutError):
-            raise Break(BreakCause.CONNECT, sent=False) from None
+            raise ExchangeError(ExchangeErrorCause.CONNECT, sent=False) from None
 
     async def _connect(self, endpoint: ServiceEndpoint) -> EndpointConnection:
         host, port = parse_address(endpoint.address)
@@ -72,7 +74,7 @@
         return connection
 
     async def listens(self, endpoint: ServiceEndpoint) -> bool | None:
-        """Whether a new connection is taken or refused; None when nothing comes back."""
+        """Return whether the endpoint accepts a connection; None if nothing responds."""
         try:
             connection = await self._connect(endpoint)
         except (ConnectionRefusedError, ConnectionResetError):
@@ -83,43 +85,45 @@
         connection.close()
         return True
 
-    def give_back(self, endpoint: ServiceEndpoint, connection: EndpointConnection) -> None:
-        """Keep a connection whose exchange ended whole; close any other."""
+    def release(self, endpoint: ServiceEndpoint, connection: EndpointConnection) -> None:
+        """Keep a connection whose exchange is complete; close any other."""
         busy = self._busy.get(endpoint.instance, set())
         busy.discard(connection)
         if not busy:
             self._busy.pop(endpoint.instance, None)
         idle = self._idle.setdefault(endpoint.instance, deque())
-        if not connection.finished or (len(idle) >= self.most_idle and connection.own_calls_only):
+        if not connection.finished or (
+            len(idle) >= self.max_idle and connection.control_calls_only
+        ):
             connection.close()
             return
-        # Those that serve no requests any more would else keep the place of one that does.
-        while len(idle) >= self.most_idle:
+        # The oldest make room: connections only for control calls must not displace usable ones.
+        while len(idle) >= self.max_idle:
             idle.popleft().close()
         connection.idle_since_ms = monotonic_ms()
         idle.append(connection)
 
-    def keep_only(self, instances: set[StartId]) -> None:
-        """Close what belongs to endpoints that are gone."""
+    def close_except(self, instances: set[StartId]) -> None:
+        """Close idle connections to all other starts of endpoints."""
         for instance in [name for name in self._idle if name not in instances]:
             for connection in self._idle.pop(instance):
                 connection.close()
 
-    def end(self, instance: StartId) -> None:
-        """A later start has taken the place of this one: it answers nothing any more.
+    def close_instance(self, instance: StartId) -> None:
+        """Abort all exchanges with a start that a later one has replaced.
 
-        Without this, a request at an endpoint that went without a reset waits for its own time-out,
-        up to the deadline of its caller.
+        Otherwise a request to an endpoint that stopped without a reset would wait for its timeout,
+        up to its caller's deadline.
         """
         for connection in self._busy.pop(instance, ()):
-            connection.give_up(BreakCause.RESTARTED)
+            connection.abort_exchange(ExchangeErrorCause.RESTARTED)
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
-    def share_among(self, nodes: int, max_connections: int) -> None:
-        """Keep so few idle connections that all nodes leave half of an endpoint's free."""
-        self.most_idle = max(1, min(MOST_IDLE, max_connections // (2 * max(1, nodes))))
+    def limit_idle(self, nodes: int, max_connections: int) -> None:
+        """Limit idle connections so that all nodes together use half of an endpoint's maximum."""
+        self.max_idle = max(1, min(MAX_IDLE_CONNECTIONS, max_connections // (2 * max(1, nodes))))
 
     def close(self) -> None:
         """Close all idle connections."""
-        self.keep_only(set())
+        self.close_except(set())
--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable, Collection, Set
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
 from saffronworks.forwarding.eligibility.table import Pause
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.starts import StartId
 
 __all__ = ["EndpointEligibility"]
@@ -135,7 +135,7 @@
         request_id: str,
         reserved: bool = False,
     ) -> None:
-        """Raise Break right before a send if the endpoint was blocked after it was chosen.
+        """Raise ExchangeError right before a send if the endpoint was blocked after it was chosen.
 
         Opening a connection, acquiring a permit or a prefill takes time in between.
         """
@@ -150,7 +150,7 @@
             block.for_ms,
             self._directory.revision,
         )
-        raise Break(BreakCause.WITHHELD, sent=False)
+        raise ExchangeError(ExchangeErrorCause.WITHHELD, sent=False)
 
     def describe(self, instance: StartId) -> str:
         """Return the advertised state of an endpoint for a log line."""
--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -91,7 +91,7 @@
         """Replace the nodes: processor cores by address."""
         starts = not self.shared_limit.nodes
         self.shared_limit.update_nodes(cores)
-        self._neighbours.take(cores)
+        self._neighbours.update_nodes(cores)
         self._backoff.nodes = max(1, len(cores))
         for node in self._neighbours.choose(PEERS_QUERIED_AT_START) if starts else ():
             self._post(node, LimitsWanted(self._own_address))
--- /dev/null
+++ b/saffronworks/forwarding/exchange_errors.py
@@ -0,0 +1,43 @@
+"""Failures of an exchange with an endpoint."""
+
+import enum
+
+__all__ = ["ExchangeError", "ExchangeErrorCause"]
+
+
+class ExchangeErrorCause(enum.StrEnum):
+    """Cause of an exchange's end without a complete answer."""
+
+    CONNECT = "connect"
+    SILENT = "silent"
+    CLOSED = "closed"
+    RESET = "reset"
+    UNREACHABLE = "unreachable"
+    NOT_HTTP = "not-http"
+    OUT_OF_ORDER = "out-of-order"
+    # The endpoint has restarted and lost the state of the exchange.
+    RESTARTED = "restarted"
+    # Nothing was sent, because the endpoint accepts no more requests.
+    WITHHELD = "withheld"
+
+
+_UNREACHABLE = frozenset([ExchangeErrorCause.CONNECT, ExchangeErrorCause.UNREACHABLE])
+
+
+class ExchangeError(Exception):
+    """An exchange has failed; `sent` is whether the endpoint may have received the request."""
+
+    def __init__(self, cause: ExchangeErrorCause, sent: bool):
+        super().__init__(cause.value)
+        self.cause = cause
+        self.sent = sent
+
+    @property
+    def withheld(self) -> bool:
+        """Return whether nothing was sent, so that the endpoint has not failed."""
+        return self.cause is ExchangeErrorCause.WITHHELD
+
+    @property
+    def unreachable(self) -> bool:
+        """Return whether the endpoint is down or the network path to it is cut."""
+        return self.cause in _UNREACHABLE
--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -72,7 +72,7 @@
             await reply.refuse(404, "no-route")
             return
         service = route.choose_service(request.request_id)
-        identified = self._node.identities.identify(request, route)
+        identified = self._node.identities.authenticate(request, route)
         if isinstance(identified, Refuse):
             job = Job(request, route, service, reply, table.version)
             await send_refusal(self._node, job, identified)
--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -51,12 +51,12 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    HOLD_ASK_MS,
-    HOLD_MS,
     HOLD_POLL_MS,
-    MOST_REDIRECTS,
+    HOLD_POLL_PER_ENDPOINT_MS,
+    HOLD_TTL_MS,
+    MAX_REDIRECTS,
     PREFILL_TIMEOUT_MS,
-    RESUME_LEAST_LEFT_MS,
+    RESUME_MIN_LEFT_MS,
 )
 
 __all__ = ["step"]
@@ -226,7 +226,7 @@
 
 def _hold_ttl_ms(state: GenerationState, now_ms: int) -> int:
     """Return the requested lifetime of a hold, at least 1 ms as the deadline may have passed."""
-    return min(HOLD_MS, state.hold_most_ms, max(1, state.deadline_at_ms - now_ms))
+    return min(HOLD_TTL_MS, state.hold_most_ms, max(1, state.deadline_at_ms - now_ms))
 
 
 def _take_granted(state: GenerationState, instance: StartId, pools: Pools, now_ms: int) -> _Result:
@@ -252,7 +252,7 @@
         refusal = refuse_blocked(blocks)
         if now_ms + refusal.not_before_ms >= state.waits_until_ms:
             return _GiveUp(refusal)
-    pause_ms = max(HOLD_POLL_MS, HOLD_ASK_MS * len(pools.decoders))
+    pause_ms = max(HOLD_POLL_MS, HOLD_POLL_PER_ENDPOINT_MS * len(pools.decoders))
     if now_ms + pause_ms < state.waits_until_ms:
         state.failed.clear()
         return Wait(pause_ms)
@@ -319,9 +319,9 @@
 
 
 def _redirect(state: GenerationState, pools: Pools, now_ms: int, reason: str) -> _Result:
-    """The request was not executed: start over, up to `MOST_REDIRECTS` times."""
+    """The request was not executed: start over, up to `MAX_REDIRECTS` times."""
     state.redirects += 1
-    if state.redirects > MOST_REDIRECTS:
+    if state.redirects > MAX_REDIRECTS:
         return _GiveUp(_refusal(state, reason))
     return _start_over(state, pools, now_ms)
 
@@ -329,7 +329,7 @@
 def _retry_run(state: GenerationState, pools: Pools, now_ms: int, fallback: _GiveUp) -> _Result:
     """Start another run after a failed one where that is allowed, else return `fallback`."""
     left_ms = state.deadline_at_ms - now_ms
-    if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_LEAST_LEFT_MS:
+    if state.may_repeat and state.runs < state.max_attempts and left_ms > RESUME_MIN_LEFT_MS:
         return _start_over(state, pools, now_ms)
     return fallback
 
--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -7,9 +7,9 @@
 
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import NoPermit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_state import (
     GenerationState,
     Pools,
@@ -39,12 +39,12 @@
 from saffronworks.forwarding.stream_relays import StreamRelay
 from saffronworks.forwarding.stream_runs import StreamRun
 from saffronworks.forwarding.tuning import (
-    GIVE_UP_LEAST_MS,
-    GIVE_UP_PAUSES,
-    GIVE_UP_TARGETS,
-    HANDLE_DISTRUST_MS,
+    CALLER_TIMEOUT_GAPS,
+    CALLER_TIMEOUT_MIN_MS,
+    CALLER_TIMEOUT_TARGETS,
+    HANDLE_FAILURE_COOLDOWN_MS,
     HEADROOM_SHARE,
-    RETURNED_BELOW_SHARE,
+    RETRY_TIME_LEFT_SHARE,
 )
 
 __all__ = ["run_generation"]
@@ -72,7 +72,7 @@
         hold_most_ms=engine.hold_most_ms,
         headroom_tokens=int(HEADROOM_SHARE * engine.kv_capacity_tokens),
         first_event_timeout_ms=client_first_event_timeout_ms(job.route),
-        returned=job.request.left_ms < RETURNED_BELOW_SHARE * usual_left_ms,
+        returned=job.request.left_ms < RETRY_TIME_LEFT_SHARE * usual_left_ms,
     )
     size = RunSize(prompt.prompt_tokens, prompt.likely_tokens, prompt.most_answer_tokens)
     relay = StreamRelay(node, job, state, engine.tokens_per_event)
@@ -81,8 +81,8 @@
 
 def client_first_event_timeout_ms(route: Route) -> int:
     """Return the time after which callers of a route disconnect if no event has arrived."""
-    by_target_ms = GIVE_UP_TARGETS * route.target_ms
-    return max(GIVE_UP_LEAST_MS, by_target_ms, GIVE_UP_PAUSES * route.gap_target_ms)
+    by_target_ms = CALLER_TIMEOUT_TARGETS * route.target_ms
+    return max(CALLER_TIMEOUT_MIN_MS, by_target_ms, CALLER_TIMEOUT_GAPS * route.gap_target_ms)
 
 
 class _GenerationRun:
@@ -196,7 +196,7 @@
         self._release_if_held()
         try:
             return await self._reservation.reserve(command)
-        except Break as broken:
+        except ExchangeError as broken:
             self._record_break(HOLD, command.endpoint, broken)
             return events.HoldFailed(command.endpoint.instance, broken=not broken.withheld)
 
@@ -219,7 +219,7 @@
         self._job.runs.begin_read()
         try:
             answer = await node.calls.prefill(endpoint, self._job.request, timeout_ms)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.uncount_read()
                 node.limits.release_permit(permit)
@@ -267,13 +267,13 @@
             head = await self._stream.head(max(1, left_ms))
             if head.success and head.signed:
                 await self._relay.await_first(self._stream, head.status)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.uncount_run()
             self._record_break("stream", endpoint, broken)
             if broken.withheld:
                 return events.StreamWithheld(endpoint.instance)
-            silent = broken.cause is BreakCause.SILENT
+            silent = broken.cause is ExchangeErrorCause.SILENT
             return events.StreamBroken(endpoint.instance, broken.sent, silent)
         if head.executed is Executed.NO:
             self._job.runs.uncount_run()
@@ -303,13 +303,13 @@
         )
         if handle is not None and not head.misdirected and not head.asks_pause:
             distrust = node.loads.of(handle.endpoint.instance)
-            distrust.no_prefill_until_ms = now_ms + HANDLE_DISTRUST_MS
+            distrust.no_prefill_until_ms = now_ms + HANDLE_FAILURE_COOLDOWN_MS
 
     async def _send_events(self) -> events.Event | None:
         assert self._stream is not None
         try:
             await self._relay.send_events(self._stream)
-        except Break as broken:
+        except ExchangeError as broken:
             return self._relay_broken(broken)
         return None
 
@@ -317,13 +317,13 @@
         assert self._stream is not None
         node, job = self._node, self._job
         body = await start_answer(node, job, head)
-        body.follow(self._stream.exchange)
+        body.attach(self._stream.exchange)
         try:
             await relay_rest(node, job, self._stream.exchange, body)
-        except Break as broken:
+        except ExchangeError as broken:
             return self._relay_broken(broken)
         finally:
-            body.leave()
+            body.detach()
         await body.finish()
         node.figures.count("answered", job.route.name)
         logger.info(
@@ -337,7 +337,7 @@
         )
         return None
 
-    def _relay_broken(self, broken: Break) -> events.RelayBroken:
+    def _relay_broken(self, broken: ExchangeError) -> events.RelayBroken:
         assert self._state.hold is not None
         endpoint = self._state.hold.endpoint
         self._record_break("stream", endpoint, broken)
@@ -356,7 +356,7 @@
         self._node.figures.count("cut", self._job.route.name, reason)
         self._job.reply.cut()
 
-    def _record_break(self, kind: str, endpoint: ServiceEndpoint, broken: Break) -> None:
+    def _record_break(self, kind: str, endpoint: ServiceEndpoint, broken: ExchangeError) -> None:
         self._node.note_break(kind, self._job.request, endpoint, broken)
 
     def _release_if_held(self) -> None:
--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -13,11 +13,11 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    GIVE_UP_LEAST_MS,
-    HINT_RESERVE,
-    PATIENCE_SHARE,
-    RESUME_LEAST_LEFT_MS,
-    RETURNED_PATIENCE_SHARE,
+    ANSWER_RESERVATION_FACTOR,
+    CALLER_TIMEOUT_MIN_MS,
+    FIRST_REFUSAL_TARGET_SHARE,
+    RESUME_MIN_LEFT_MS,
+    RETRY_WAIT_SHARE,
 )
 
 __all__ = ["GenerationState", "Delivered", "Pools", "planned_tokens", "reserve_tokens"]
@@ -32,7 +32,7 @@
 
 def reserve_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
     """Return the tokens to reserve: the prompt's, and the likely ones of the answer."""
-    answer = min(prompt.most_answer_tokens, int(HINT_RESERVE * prompt.likely_tokens))
+    answer = min(prompt.most_answer_tokens, int(ANSWER_RESERVATION_FACTOR * prompt.likely_tokens))
     return min(prompt.prompt_tokens + answer, capacity_tokens)
 
 
@@ -85,7 +85,7 @@
     deadline_at_ms: int
     hold_most_ms: int
     headroom_tokens: int = 0
-    first_event_timeout_ms: int = GIVE_UP_LEAST_MS
+    first_event_timeout_ms: int = CALLER_TIMEOUT_MIN_MS
     returned: bool = False
     runs: int = 0
     redirects: int = 0
@@ -122,15 +122,15 @@
     def max_wait_at_ms(self) -> float:
         """The latest time to wait for memory until; after it the caller is about to disconnect."""
         if self.answer_started:
-            return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
+            return self.deadline_at_ms - RESUME_MIN_LEFT_MS
         first_event_timeout_ms = min(
             self.first_event_timeout_ms, self.deadline_at_ms - self.arrived_ms
         )
-        return self.arrived_ms + RETURNED_PATIENCE_SHARE * first_event_timeout_ms
+        return self.arrived_ms + RETRY_WAIT_SHARE * first_event_timeout_ms
 
     @property
     def waits_until_ms(self) -> float:
         """The time until which a request waits for memory; a first refusal is sent early."""
         if self.answer_started or self.returned:
             return self.max_wait_at_ms
-        return self.arrived_ms + PATIENCE_SHARE * self.target_ms
+        return self.arrived_ms + FIRST_REFUSAL_TARGET_SHARE * self.target_ms
--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -6,9 +6,9 @@
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    AWAY_FACTOR,
-    FAILURE_FACTOR,
-    FORGET_HALF_LIFE_MS,
+    AVERAGE_HALF_LIFE_MS,
+    CROSS_ZONE_COST_FACTOR,
+    FAILURE_COST_FACTOR,
     PRIOR_LATENCY_MS,
     SAMPLE_WEIGHT,
 )
@@ -47,12 +47,12 @@
         expected_ms = self.latency_ms * (1 + self.outstanding)
         return (
             expected_ms
-            * (1 + FAILURE_FACTOR * self.failure_share)
-            * (AWAY_FACTOR if other_zone else 1)
+            * (1 + FAILURE_COST_FACTOR * self.failure_share)
+            * (CROSS_ZONE_COST_FACTOR if other_zone else 1)
         )
 
     def _decay(self, now_ms: int) -> None:
-        kept = 0.5 ** (max(0, now_ms - self.updated_ms) / FORGET_HALF_LIFE_MS)
+        kept = 0.5 ** (max(0, now_ms - self.updated_ms) / AVERAGE_HALF_LIFE_MS)
         self.latency_ms = PRIOR_LATENCY_MS + (self.latency_ms - PRIOR_LATENCY_MS) * kept
         self.failure_share *= kept
         self.updated_ms = now_ms
--- a/saffronworks/forwarding/node_choice.py
+++ b/saffronworks/forwarding/node_choice.py
@@ -6,10 +6,10 @@
 
 from saffronworks.forwarding.node_order import strong_nodes
 from saffronworks.forwarding.tuning import (
-    MOST_RANKS_KEPT,
-    NODE_AVOID_MOST_MS,
+    MAX_CACHED_RANKINGS,
+    NODE_AVOID_MAX_MS,
     NODE_AVOID_MS,
-    YOUNG_AVOID_MS,
+    STARTUP_NODE_AVOID_MS,
 )
 from saffronworks.hashing import rank_members
 
@@ -74,13 +74,13 @@
         as one failure.
         """
         if self.starting(now_ms):
-            self._avoided[node] = _Avoided(now_ms + YOUNG_AVOID_MS, NODE_AVOID_MS // 2)
-            return YOUNG_AVOID_MS
+            self._avoided[node] = _Avoided(now_ms + STARTUP_NODE_AVOID_MS, NODE_AVOID_MS // 2)
+            return STARTUP_NODE_AVOID_MS
         known = self._avoided.get(node)
         if known is not None and now_ms < known.until_ms:
             return known.until_ms - now_ms
         doubled_ms = 2 * known.span_ms if known else NODE_AVOID_MS
-        span_ms = min(doubled_ms, NODE_AVOID_MOST_MS)
+        span_ms = min(doubled_ms, NODE_AVOID_MAX_MS)
         self._avoided[node] = _Avoided(now_ms + span_ms, span_ms)
         return span_ms
 
@@ -92,7 +92,7 @@
         """Return the first two nodes by hash, cached, as ranking 60 nodes takes 0.1 ms."""
         key = (service, avoided)
         if key not in self._ranks:
-            if len(self._ranks) >= MOST_RANKS_KEPT:
+            if len(self._ranks) >= MAX_CACHED_RANKINGS:
                 self._ranks.clear()
             left = {name: has for name, has in self.cores.items() if name not in avoided}
             self._ranks[key] = rank_members(strong_nodes(left), service, REPORT_RECEIVERS)
--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -26,7 +26,7 @@
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
     HEDGE_SHARE,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
 )
 
 __all__ = [
@@ -192,7 +192,7 @@
 def _redirect(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
     """Send to another endpoint after one that did not execute the request."""
     state.redirects += 1
-    if state.redirects > MOST_REDIRECTS:
+    if state.redirects > MAX_REDIRECTS:
         return _give_up(state, choice, reason)
     return _send(state, choice, now_ms, reason)
 
--- a/saffronworks/forwarding/plain_runner.py
+++ b/saffronworks/forwarding/plain_runner.py
@@ -3,9 +3,9 @@
 import logging
 
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import UNCOUNTED_PERMIT, Permit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.messages import AnswerHead, Begin, Executed, Refuse
 from saffronworks.forwarding.plain_core import (
     AcquirePermit,
@@ -25,7 +25,7 @@
     send_refusal,
 )
 from saffronworks.forwarding.stream_runs import StreamRun
-from saffronworks.forwarding.tuning import WHOLE_BODY_BYTES
+from saffronworks.forwarding.tuning import MAX_PREREAD_BODY_BYTES
 
 __all__ = ["run_plain"]
 
@@ -134,12 +134,12 @@
         node.begin_run(self._job)
         try:
             head = await self._exchange_with(endpoint, command.wait_ms)
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self._job.runs.uncount_run()
                 self._release_permit()
             node.note_break(PLAIN, self._job.request, endpoint, broken)
-            return Broken(endpoint.instance, broken.sent, broken.cause is BreakCause.SILENT)
+            return Broken(endpoint.instance, broken.sent, broken.cause is ExchangeErrorCause.SILENT)
         finally:
             load.outstanding -= 1
             self._permit = UNCOUNTED_PERMIT
@@ -169,17 +169,17 @@
         until_ms = node.now_ms() + wait_ms
         left_ms = job.deadline_at_ms - node.now_ms()
         self._exchange = await node.calls.send(endpoint, job.request, left_ms)
-        self._body.follow(self._exchange)
+        self._body.attach(self._exchange)
         self._head = await self._exchange.head(max(1, until_ms - node.now_ms()))
         self._first_ms = node.now_ms()
         self._start_of_body, self._body_whole = b"", False
-        while not job.route.streams and len(self._start_of_body) < WHOLE_BODY_BYTES:
+        while not job.route.streams and len(self._start_of_body) < MAX_PREREAD_BODY_BYTES:
             chunk = await self._exchange.next_chunk(max(1, until_ms - node.now_ms()))
             if chunk is None:
                 self._body_whole = True
                 break
             self._start_of_body += chunk
-            self._body.keep(len(self._start_of_body))
+            self._body.set_preread_bytes(len(self._start_of_body))
         return self._head
 
     async def _relay(self) -> None:
@@ -194,7 +194,7 @@
                 await self._relay_events(StreamRun(self._exchange), body)
             elif not self._body_whole:
                 await relay_rest(node, job, self._exchange, body)
-        except Break as broken:
+        except ExchangeError as broken:
             node.note_break(PLAIN, job.request, self._endpoint, broken)
             logger.info(
                 "event=cut request=%s route=%s reason=answer-broke cause=%s",
@@ -206,7 +206,7 @@
             reply.cut()
             return
         finally:
-            body.leave()
+            body.detach()
         await body.finish()
         if self._head.success:
             node.quarantine.record_success(job.request, self._exchange.framed)
@@ -224,15 +224,15 @@
         )
 
     async def _relay_events(self, run: StreamRun, body: AnswerBody) -> None:
-        """Relay complete events; raises Break if the stream ends early or inside an event."""
+        """Relay complete events; raises ExchangeError if the stream ends early or in an event."""
         job, now_ms = self._job, self._node.now_ms
         while (mark := await run.next_events(max(1, job.deadline_at_ms - now_ms()))) is not None:
             await body.write(mark.data)
-        if run.rest():
-            await body.write(run.rest())
+        if run.remainder():
+            await body.write(run.remainder())
 
     def _end_exchange(self) -> None:
         if self._exchange is not None:
-            self._body.leave()
+            self._body.detach()
             self._exchange.end()
             self._exchange = None
--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -14,8 +14,8 @@
 )
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEAST_MS,
-    RETRY_AFTER_MOST_MS,
+    RETRY_AFTER_MAX_MS,
+    RETRY_AFTER_MIN_MS,
 )
 
 __all__ = ["run_ends_per_s", "reject"]
@@ -158,11 +158,11 @@
 ) -> int:
     """Return the retry delay; retries are spread so that they take a share of the grants."""
     priority = waiter.priority
-    earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
+    earliest_ms: float = now_ms + RETRY_AFTER_MIN_MS
     if state.order.rates.has_several_priorities(now_ms):
         earliest_ms = max(earliest_ms, grant_at_ms)
     granted_per_s = _granted_per_s(state, priority, per_s, now_ms)
     next_ms = state.next_retry_ms.get(priority, 0.0) + 1000 / (RETRY_SHARE * granted_per_s)
-    at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MOST_MS)
+    at_ms = min(max(earliest_ms, next_ms), now_ms + RETRY_AFTER_MAX_MS)
     state.next_retry_ms[priority] = at_ms
     return int(at_ms - now_ms)
--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -9,7 +9,7 @@
 
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding.directory import Directory
-from saffronworks.forwarding.figures import Figures, Level
+from saffronworks.forwarding.figures import Level, MetricsRecorder
 from saffronworks.forwarding.planning import core
 from saffronworks.forwarding.planning.core import PlanState, Reply, Tick
 from saffronworks.forwarding.planning.messages import (
@@ -48,7 +48,7 @@
         table: Callable[[], RoutingTable | None],
         nodes: Callable[[], Collection[str]],
         own_address: str,
-        figures: Figures,
+        figures: MetricsRecorder,
     ):
         self.plans: dict[str, PlanState] = {}
         self._directory = directory
@@ -59,8 +59,8 @@
         self._settled: Counter[tuple[str, str, int]] = Counter()
         self._dropped_revision = directory.revision
         self._active = anyio.Event()
-        figures.watch("saffronworks_plan_waiting", lambda: self._levels(_waiting))
-        figures.watch("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
+        figures.register_gauge("saffronworks_plan_waiting", lambda: self._levels(_waiting))
+        figures.register_gauge("saffronworks_plan_endpoints_kept", lambda: self._levels(_kept))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
         """Handle messages and ticks until cancelled."""
--- a/saffronworks/forwarding/ports.py
+++ b/saffronworks/forwarding/ports.py
@@ -112,17 +112,17 @@
         """True if the answer marks its own end; otherwise only closing the connection ends it."""
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """Return the status and headers of the answer; raises Break."""
+        """Return the status and headers of the answer; raises ExchangeError."""
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """Return the next part of the body, None at its end; raises Break."""
+        """Return the next part of the body, None at its end; raises ExchangeError."""
 
     def end(self) -> None:
         """Return the connection to the pool, or close it if the answer is incomplete."""
 
 
 class EndpointCalls(Protocol):
-    """Calls to endpoints. All raise Break if the exchange ends without an answer."""
+    """Calls to endpoints. All raise ExchangeError if the exchange ends without an answer."""
 
     async def send(
         self, endpoint: ServiceEndpoint, request: CallerRequest, left_ms: int
--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import BreakCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.neighbours import Neighbours
 from saffronworks.forwarding.quarantine.events import (
     Command,
@@ -61,11 +61,11 @@
 # Causes that a crash of the endpoint's process or machine can produce.
 _ENDS = frozenset(
     [
-        BreakCause.CLOSED,
-        BreakCause.RESET,
-        BreakCause.RESTARTED,
-        BreakCause.SILENT,
-        BreakCause.UNREACHABLE,
+        ExchangeErrorCause.CLOSED,
+        ExchangeErrorCause.RESET,
+        ExchangeErrorCause.RESTARTED,
+        ExchangeErrorCause.SILENT,
+        ExchangeErrorCause.UNREACHABLE,
     ]
 )
 
@@ -97,7 +97,7 @@
 
     def update_nodes(self, nodes: Iterable[str]) -> None:
         """Replace the list of nodes."""
-        self.neighbours.take(nodes)
+        self.neighbours.update_nodes(nodes)
 
     @property
     def idle(self) -> bool:
@@ -151,7 +151,7 @@
     if event.leaving or event.cause not in _ENDS:
         return []
     instance = event.endpoint.instance
-    if event.cause is BreakCause.RESTARTED:
+    if event.cause is ExchangeErrorCause.RESTARTED:
         return _record_ends(state, {event.content}, instance, now_ms)
     if instance in state.probes:
         state.probes[instance].contents.add(event.content)
--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -8,8 +8,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.messages import CallerRequest
 from saffronworks.forwarding.ports import EndpointCalls, ObjectStore
 from saffronworks.forwarding.quarantine import events
@@ -25,7 +25,7 @@
     RECORD_RETRY_S,
 )
 from saffronworks.forwarding.store_revisions import StoreEpoch
-from saffronworks.forwarding.tuning import RESTORED_SPREAD_MS
+from saffronworks.forwarding.tuning import RESTORE_JITTER_MS
 from saffronworks.kernel import Kernel, Mailbox
 from saffronworks.peers import Outgoing
 
@@ -107,14 +107,18 @@
         self._handle(events.TrialStarted(request.content))
 
     def record_failure(
-        self, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break, waited_for: bool
+        self,
+        request: CallerRequest,
+        endpoint: ServiceEndpoint,
+        broken: ExchangeError,
+        waited_for: bool,
     ) -> None:
         """Record that an endpoint that may have run a request gave no complete answer.
 
         A timeout counts only if `waited_for`: a plain request that moves on after a short timeout
         doesn't show that the first endpoint failed, and a probe costs a connection.
         """
-        if broken.cause is BreakCause.SILENT and not waited_for:
+        if broken.cause is ExchangeErrorCause.SILENT and not waited_for:
             return
         known = self._directory.endpoints.get(endpoint.instance)
         leaving = known is None or known.draining
@@ -209,7 +213,7 @@
             self._start(self._rewrite_records)
 
     async def _rewrite_records(self) -> None:
-        await anyio.sleep(RESTORED_SPREAD_MS / 1000 * self._state.rng.random())
+        await anyio.sleep(RESTORE_JITTER_MS / 1000 * self._state.rng.random())
         self._handle(events.RecordsLost())
 
     async def _tick(self) -> None:
--- a/saffronworks/forwarding/reservations.py
+++ b/saffronworks/forwarding/reservations.py
@@ -6,9 +6,9 @@
 from result import Err, Result
 
 from saffronworks.forwarding import generation_events as events
-from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.endpoint_limits.permits import UNCOUNTED_PERMIT, NoPermit
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.loads import EndpointLoad
 from saffronworks.forwarding.messages import KvHold, NotExecuted
 from saffronworks.forwarding.planning.client import RunOwner, RunSize
@@ -23,7 +23,7 @@
 from saffronworks.forwarding.runners import Job, NodeState
 from saffronworks.forwarding.starts import StartId
 from saffronworks.forwarding.tuning import (
-    HEADROOM_MS,
+    HEADROOM_HOLD_TTL_MS,
 )
 
 __all__ = ["Reservation", "StreamPace"]
@@ -106,7 +106,7 @@
     async def reserve(self, command: events.TakeHold) -> events.Event:
         """Reserve memory at an endpoint and return the outcome as an event.
 
-        Raises Break when the endpoint gives no answer.
+        Raises ExchangeError when the endpoint gives no answer.
         """
         endpoint, request_id = command.endpoint, self.job.request.request_id
         permit = await self.node.limits.acquire_permit(endpoint, request_id, RESERVATION_CALLS)
@@ -117,7 +117,7 @@
             hold = await self._take_hold_with_headroom(
                 command, limited=permit is not UNCOUNTED_PERMIT
             )
-        except Break as broken:
+        except ExchangeError as broken:
             if not broken.sent:
                 self.node.limits.release_permit(permit)
             raise
@@ -149,7 +149,7 @@
         # The check costs two calls, which rate-limited endpoints are spared.
         if command.headroom_tokens and not limited:
             free = await calls.take_hold(
-                endpoint, request, command.headroom_tokens, HEADROOM_MS, now_ms()
+                endpoint, request, command.headroom_tokens, HEADROOM_HOLD_TTL_MS, now_ms()
             )
             if isinstance(free, Err):
                 return free
--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -5,13 +5,13 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.buffered_answers import AnswerBuffers, TrackedBody
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
-from saffronworks.forwarding.figures import Figures
-from saffronworks.forwarding.identity import KEY_TAKEN_AWAY, Identities
+from saffronworks.forwarding.exchange_errors import ExchangeError
+from saffronworks.forwarding.figures import MetricsRecorder
+from saffronworks.forwarding.identity import KEY_REVOKED, Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import ENDS_ENDPOINTS, AnswerHead, CallerRequest, Refuse
 from saffronworks.forwarding.planning.client import MemoryClient
@@ -21,9 +21,9 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.routing import Route
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEAST_MS,
-    RETRY_AFTER_LEFT_SHARE,
-    RETRY_AFTER_MOST_MS,
+    RETRY_AFTER_MAX_MS,
+    RETRY_AFTER_MAX_SHARE,
+    RETRY_AFTER_MIN_MS,
 )
 from saffronworks.hashing import hash32
 
@@ -54,12 +54,12 @@
     loads: LoadTable
     budget: RetryBudget
     calls: EndpointCalls
-    figures: Figures
+    figures: MetricsRecorder
     now_ms: Callable[[], int]
     spawn: Callable[..., None]
     memory: MemoryClient
     quarantine: Quarantine
-    identities: Identities
+    identities: Authenticator
     quotas: Quotas
     limits: EndpointLimits
     eligibility: EndpointEligibility
@@ -74,8 +74,8 @@
 
         Its key may have been revoked, or its content quarantined since it was admitted.
         """
-        if not self.identities.holds(job.request, job.route):
-            return KEY_TAKEN_AWAY
+        if not self.identities.is_still_authorized(job.request, job.route):
+            return KEY_REVOKED
         if not trial_began and self.quarantine.blocks(job.request, job.on_trial):
             return ENDS_ENDPOINTS
         return None
@@ -87,7 +87,7 @@
             self.quotas.charge_again(job.charge, job.runs.sends)
 
     def note_break(
-        self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: Break
+        self, kind: str, request: CallerRequest, endpoint: ServiceEndpoint, broken: ExchangeError
     ) -> None:
         """Count and log a call of the given kind that got no complete answer.
 
@@ -116,7 +116,7 @@
         """Remove an endpoint whose address another one now has; the store may still list it."""
         if head.found_name is None or head.found_name == endpoint.name:
             return
-        self.directory.note_replaced(endpoint.instance)
+        self.directory.mark_replaced(endpoint.instance)
         logger.info(
             "event=endpoint_replaced endpoint=%s address=%s by=%s endpoints_rev=%s",
             endpoint.instance,
@@ -187,8 +187,8 @@
     It stays below the limit up to which callers honour it.
     """
     left_ms = request.arrived_ms + request.left_ms - now_ms
-    most_ms = min(RETRY_AFTER_MOST_MS, RETRY_AFTER_LEFT_SHARE * left_ms)
-    least_ms = min(RETRY_AFTER_LEAST_MS, most_ms / 2)
+    most_ms = min(RETRY_AFTER_MAX_MS, RETRY_AFTER_MAX_SHARE * left_ms)
+    least_ms = min(RETRY_AFTER_MIN_MS, most_ms / 2)
     spread = hash32(request.request_id) / 2**32
     return max(1, int(least_ms + spread * (most_ms - least_ms)))
 
@@ -225,7 +225,7 @@
 
 
 async def relay_rest(node: NodeState, job: Job, exchange: Exchange, body: AnswerBody) -> None:
-    """Relay the rest of an answer up to its end; raises Break when it ends early."""
+    """Relay the rest of an answer up to its end; raises ExchangeError if cut off."""
     while True:
         left_ms = max(1, job.deadline_at_ms - node.now_ms())
         chunk = await exchange.next_chunk(left_ms)
--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -15,7 +15,7 @@
 from saffronworks.forwarding.shares.limits import Limit, Tolerance
 from saffronworks.forwarding.shares.ring import HolderRing
 from saffronworks.forwarding.shares.tuning import HOLDER_TIMEOUT_MS
-from saffronworks.forwarding.tuning import YOUNG_MS
+from saffronworks.forwarding.tuning import STARTUP_MS
 
 __all__ = ["SharedLimit", "ShareMessage"]
 
@@ -49,7 +49,7 @@
         self._limit_of = limit_of
         self._send_message = send_message
         self._on_change = on_change
-        choice = NodeChoice(starting_until_ms=now_ms() + YOUNG_MS)
+        choice = NodeChoice(starting_until_ms=now_ms() + STARTUP_MS)
         # Holding shares costs little, so all nodes do; few subjects then lose all three holders.
         self.entry = EntryState(choice, HolderRing(), Allowances(tolerance, uncounted_nodes))
         self.holder_state = HolderState(tolerance, now_ms(), stagger_retries)
--- a/saffronworks/metrics.py
+++ b/saffronworks/metrics.py
@@ -7,7 +7,7 @@
 from opentelemetry.sdk.metrics import MeterProvider
 from prometheus_client import REGISTRY, generate_latest
 
-from saffronworks.forwarding.figures import Figures, Labels
+from saffronworks.forwarding.figures import Labels, MetricsRecorder
 
 __all__ = ["ForwardingMetrics", "Metrics", "find_meter", "scrape_page"]
 
@@ -81,7 +81,7 @@
 class ForwardingMetrics:
     """The instruments over the figures of forwarding."""
 
-    def __init__(self, figures: Figures):
+    def __init__(self, figures: MetricsRecorder):
         self._figures = figures
         meter = find_meter()
         for name in (*_COUNTERS, *_SHARE_COUNTERS):
@@ -112,6 +112,6 @@
 
     def render(self) -> bytes:
         """The scrape page, with what was sampled since the last one."""
-        for sample in self._figures.take_samples():
+        for sample in self._figures.drain_samples():
             self._histograms[sample.name].record(sample.value_ms, dict(sample.labels))
         return scrape_page()
--- a/saffronworks/platform/answer_fields.py
+++ b/saffronworks/platform/answer_fields.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from saffronworks.field_numbers import read_decimal, shorten
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit
 
@@ -71,7 +71,7 @@
 }
 
 
-def is_not_executed(raw: RawHead) -> bool:
+def is_not_executed(raw: ResponseHead) -> bool:
     """Return whether the server states that it did not run the request."""
     values = {
         value.strip(" \t").lower() for key, value in raw.fields if key.lower() == NOT_EXECUTED_FIELD
@@ -80,7 +80,7 @@
 
 
 def read_advertisement(
-    raw: RawHead, sent_ms: int, wall_ms: int, is_request: bool = True
+    raw: ResponseHead, sent_ms: int, wall_ms: int, is_request: bool = True
 ) -> Advertisement | None:
     """Return what an answer states about its server, or None if another server has the address.
 
@@ -98,13 +98,13 @@
     return Advertisement(limit, draining, pause_ms, (*malformed_draining, *malformed_pause))
 
 
-def read_limit(raw: RawHead, sent_ms: int) -> AdvertisedLimit:
+def read_limit(raw: ResponseHead, sent_ms: int) -> AdvertisedLimit:
     """Return the rate limit in an answer to a request sent at `sent_ms`; of several the lowest."""
     return _read_limit(_advertised_values(raw), raw, sent_ms)
 
 
 def _read_limit(
-    values: _Values, raw: RawHead, sent_ms: int, is_request: bool = True
+    values: _Values, raw: ResponseHead, sent_ms: int, is_request: bool = True
 ) -> AdvertisedLimit:
     # An answer without the limit header ends the limit only if the request ran: not on a failure,
     # nor without a request id, as the answer may then come from another party.
@@ -120,7 +120,7 @@
     return AdvertisedLimit(min(named), sent_ms, ran)
 
 
-def _advertised_values(raw: RawHead) -> _Values:
+def _advertised_values(raw: ResponseHead) -> _Values:
     """Return the values of the header fields in which a server describes itself, by name."""
     values: _Values = {}
     for key, value in raw.fields:
@@ -172,7 +172,7 @@
     def __init__(self) -> None:
         self.names: set[str] = set()
 
-    def check(self, raw: RawHead, instance: str) -> None:
+    def check(self, raw: ResponseHead, instance: str) -> None:
         """Log the unknown fields of an answer that have not been logged yet."""
         for key, value in raw.fields:
             name = key.lower()
--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -8,12 +8,12 @@
 
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.breaks import Break
 from saffronworks.forwarding.connection_pool import ConnectionPool
-from saffronworks.forwarding.connections import EndpointConnection, RawHead
+from saffronworks.forwarding.connections import EndpointConnection, ResponseHead
 from saffronworks.forwarding.directory import ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.messages import (
     AnswerHead,
     CallerRequest,
@@ -82,7 +82,7 @@
         self._unknown = UnknownFields()
 
     def read(
-        self, endpoint: ServiceEndpoint, raw: RawHead, sent_ms: int, is_request: bool = True
+        self, endpoint: ServiceEndpoint, raw: ResponseHead, sent_ms: int, is_request: bool = True
     ) -> Advertisement | None:
         """Record an answer; `is_request` is false for this node's own calls."""
         self._unknown.check(raw, endpoint.instance)
@@ -114,7 +114,7 @@
         return self.connection.framed
 
     async def head(self, timeout_ms: float) -> AnswerHead:
-        """Read the status and the headers of the answer; raises Break."""
+        """Read the status and the headers of the answer; raises ExchangeError."""
         raw = await self.connection.head(timeout_ms)
         advertisement = self._answers.read(self._endpoint, raw, self._sent_ms)
         head = _decode_head(raw)
@@ -123,12 +123,12 @@
         return head
 
     async def next_chunk(self, timeout_ms: float | None = None) -> bytes | None:
-        """Read the next part of the body, None at its end; raises Break."""
+        """Read the next part of the body, None at its end; raises ExchangeError."""
         return await self.connection.next_chunk(timeout_ms)
 
     def end(self) -> None:
         """Return the connection to the pool, or close it if the answer is incomplete."""
-        self._pool.give_back(self._endpoint, self.connection)
+        self._pool.release(self._endpoint, self.connection)
 
 
 class PlatformCalls:
@@ -249,21 +249,21 @@
         endpoint: ServiceEndpoint,
         request: CallerRequest,
         reserved: bool = False,
-        own_call: bool = False,
+        control_call: bool = False,
     ) -> EndpointConnection:
-        """Return a connection if the endpoint still accepts this request; raises Break."""
-        connection = await self.pool.take(endpoint, own_call)
+        """Return a connection if the endpoint still accepts this request; raises ExchangeError."""
+        connection = await self.pool.acquire(endpoint, control_call)
         try:
             self._eligibility.check_send(endpoint, request.arrived_ms, request.request_id, reserved)
-        except Break:
-            self.pool.give_back(endpoint, connection)
+        except ExchangeError:
+            self.pool.release(endpoint, connection)
             raise
         return connection
 
     async def _drop(self, endpoint: ServiceEndpoint, path: str) -> None:
         try:
             status, _ = await self._call(endpoint, "DELETE", path, None)
-        except Break as broken:
+        except ExchangeError as broken:
             logger.info(
                 "event=drop_failed endpoint=%s path=%s cause=%s",
                 endpoint.instance,
@@ -281,7 +281,7 @@
         body: object,
         request: CallerRequest | None = None,
     ) -> tuple[int, bytes]:
-        """Send one of the node's own calls; returns status and body, raises Break.
+        """Send one of the node's own calls; returns status and body, raises ExchangeError.
 
         Calls without a `request` release reservations and KV caches, or order a role.
         """
@@ -295,16 +295,16 @@
         if content:
             lines.append("Content-Type: application/json")
         if request is None:
-            connection = await self.pool.take(endpoint, own_call=True)
+            connection = await self.pool.acquire(endpoint, control_call=True)
         else:
-            connection = await self._connect(endpoint, request, own_call=True)
+            connection = await self._connect(endpoint, request, control_call=True)
         sent_ms = monotonic_ms()
         try:
             connection.send(_join(lines, content), None)
             head = await connection.head(CALL_TIMEOUT_MS)
             reply = await connection.body(CALL_TIMEOUT_MS)
         finally:
-            self.pool.give_back(endpoint, connection)
+            self.pool.release(endpoint, connection)
         # Only answers to requests can end a rate limit.
         self._answers.read(endpoint, head, sent_ms, is_request=False)
         return head.status, reply
@@ -334,7 +334,7 @@
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + content
 
 
-def _decode_head(raw: RawHead) -> AnswerHead:
+def _decode_head(raw: ResponseHead) -> AnswerHead:
     not_executed = is_not_executed(raw)
     # No request accepts an encoding, so an encoded body was not made by the endpoint.
     identified = raw.get(ID_FIELD) is not None and raw.get(SIGNATURE_FIELD) is not None
--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -11,17 +11,17 @@
 
 from saffronworks.clocks import monotonic_ms, wall_ms
 from saffronworks.forwarding import store_news
-from saffronworks.forwarding.answer_buffers import bound_of_memory
+from saffronworks.forwarding.answer_buffers import buffer_bound
 from saffronworks.forwarding.buffered_answers import AnswerBuffers
-from saffronworks.forwarding.census import Census, CountedNode
+from saffronworks.forwarding.census import Census, NodeInfo
 from saffronworks.forwarding.directory import Directory
 from saffronworks.forwarding.eligibility.service import EndpointEligibility
 from saffronworks.forwarding.endpoint_limits import messages as limit_messages
 from saffronworks.forwarding.endpoint_limits.service import EndpointLimits
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.followers import Follower
 from saffronworks.forwarding.forwarder import Forwarder
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.node_order import NodeOrder
 from saffronworks.forwarding.planning import messages as planning_messages
@@ -158,7 +158,7 @@
         budget = RetryBudget(
             settings.retry_ratio, settings.retry_slack, settings.retry_window_ms, INITIAL_NODE_COUNT
         )
-        figures = Figures(settings.node)
+        figures = MetricsRecorder(settings.node)
         return NodeState(
             zone=settings.zone,
             directory=self._directory,
@@ -170,11 +170,11 @@
             spawn=self._spawn,
             memory=self._memory,
             quarantine=self._quarantine,
-            identities=Identities(self._is_configuration_current),
+            identities=Authenticator(self._is_configuration_current),
             quotas=self._quotas,
             limits=self._limits,
             eligibility=self._eligibility,
-            buffers=AnswerBuffers(bound_of_memory(settings.memory_bytes), figures, monotonic_ms),
+            buffers=AnswerBuffers(buffer_bound(settings.memory_bytes), figures, monotonic_ms),
         )
 
     def _receives_updates(self) -> bool:
@@ -320,7 +320,7 @@
             await self._run_once(service)
             await anyio.sleep(SERVICE_PAUSE_MS / 1000)
 
-    def _apply_census(self, nodes: dict[str, CountedNode]) -> None:
+    def _apply_census(self, nodes: dict[str, NodeInfo]) -> None:
         cores = {address: node.cores for address, node in nodes.items()}
         zone = self.settings.zone
         self._news.update_zone(
@@ -338,7 +338,7 @@
         table = self._forwarder.table
         if table is not None and table.services:
             min_connections = min(service.max_connections for service in table.services.values())
-            self._calls.pool.share_among(self._state.budget.nodes, min_connections)
+            self._calls.pool.limit_idle(self._state.budget.nodes, min_connections)
 
     def _apply_table(self, table: RoutingTable) -> bool:
         self._callers.keep_idle(table.limits.idle_timeout_ms / 1000)
@@ -350,11 +350,11 @@
 
     def _forget_removed_endpoints(self) -> None:
         for instance in self._directory.take_ended():
-            self._calls.pool.end(instance)
+            self._calls.pool.close_instance(instance)
         known = set(self._directory.endpoints)
         self._state.loads.forget_all_but(known)
         self._eligibility.forget_all_but(known)
-        self._calls.pool.keep_only(known)
+        self._calls.pool.close_except(known)
 
     async def _answer_probe(self, call: Call) -> None:
         if call.path != READINESS_PATH:
--- a/saffronworks/platform/organisations.py
+++ b/saffronworks/platform/organisations.py
@@ -5,14 +5,14 @@
 import attrs
 
 from saffronworks.forwarding.organisations import (
-    MOST_KEY_BYTES,
+    MAX_KEY_BYTES,
     BadKey,
     Organisation,
     Organisations,
     Quota,
     QuotaUnit,
     digest_key,
-    read_key,
+    parse_key,
 )
 
 __all__ = ["Tenant", "check_tenants", "decode_tenants"]
@@ -58,9 +58,9 @@
     if not tenant.name or not all("!" <= char <= "~" for char in tenant.name):
         problems.append("the name is empty or has characters that a header can't hold")
     for position, key in enumerate(tenant.api_keys):
-        if isinstance(read_key([key]), BadKey):
+        if isinstance(parse_key([key]), BadKey):
             problems.append(
-                f"api_keys[{position}] must have 1 to {MOST_KEY_BYTES} visible ASCII characters"
+                f"api_keys[{position}] must have 1 to {MAX_KEY_BYTES} visible ASCII characters"
             )
     if tenant.unit not in _UNITS:
         problems.append(
--- a/saffronworks/platform/servers.py
+++ b/saffronworks/platform/servers.py
@@ -11,7 +11,7 @@
 from result import Err, Result
 
 from saffronworks.endpoint_roles import Role
-from saffronworks.forwarding.directory import Directory, Heard, ServiceEndpoint
+from saffronworks.forwarding.directory import Directory, EntryUpdate, ServiceEndpoint
 from saffronworks.forwarding.ports import Listing, StoredObject
 from saffronworks.forwarding.store_revisions import StoreRevision
 from saffronworks.platform.server_entries import ServerEntry, read_entry
@@ -99,7 +99,7 @@
         now_ms = self._now_ms()
         names = {item.name for item in listing.objects}
         self._apply_objects(listing.objects, now_ms, lapse_until_ms)
-        for name in self._directory.keep(names, listing.revision, now_ms, lapse_until_ms):
+        for name in self._directory.remove_missing(names, listing.revision, now_ms, lapse_until_ms):
             self._log_removed(name, lapse_until_ms - now_ms)
         self._invalid_entries.logged = {
             name: at for name, at in self._invalid_entries.logged.items() if name in names
@@ -145,14 +145,14 @@
         outcome = self._directory.put_listed(endpoint, revision, now_ms)
         self._invalid_entries.logged.pop(endpoint.name, None)
         match outcome:
-            case Heard.SAME:
+            case EntryUpdate.UNCHANGED:
                 return
-            case Heard.WITHHELD:
+            case EntryUpdate.WITHHELD:
                 logger.info(
                     "event=endpoint_withheld endpoint=%s revision=%s", endpoint.instance, revision
                 )
                 return
-            case Heard.OVER:
+            case EntryUpdate.OBSOLETE:
                 logger.info(
                     "event=endpoint_over endpoint=%s address=%s known=%s after_rev=%s",
                     endpoint.instance,
--- a/saffronworks/platform/settings.py
+++ b/saffronworks/platform/settings.py
@@ -6,7 +6,7 @@
 from saffronworks.forwarding.shares.limits import Tolerance
 from saffronworks.forwarding.tuning import (
     WATCH_MARGIN_MS,
-    WATCH_WAIT_MOST_MS,
+    WATCH_WAIT_MAX_MS,
 )
 from saffronworks.readers import Finding, Section, read_yaml, sort_findings
 
@@ -83,7 +83,7 @@
         lease_ms=bounds.integer("lease_ms", 3000, least=1),
         thaw_slack_ms=bounds.integer("thaw_slack_ms", 300),
         watch_wait_ms=max(
-            MIN_WATCH_WAIT_MS, min(WATCH_WAIT_MOST_MS, known_within_ms - WATCH_MARGIN_MS)
+            MIN_WATCH_WAIT_MS, min(WATCH_WAIT_MAX_MS, known_within_ms - WATCH_MARGIN_MS)
         ),
         known_within_ms=known_within_ms,
         follow_within_ms=_follow_within_ms(bounds),
--- a/saffronworks/tests/features/steps/eligibility_steps.py
+++ b/saffronworks/tests/features/steps/eligibility_steps.py
@@ -8,14 +8,14 @@
 from saffronworks.endpoint_roles import Role
 from saffronworks.forwarding import generation_core
 from saffronworks.forwarding import plain_core as plain
-from saffronworks.forwarding.breaks import Break, BreakCause
-from saffronworks.forwarding.connections import RawHead
+from saffronworks.forwarding.connections import ResponseHead
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
 from saffronworks.forwarding.eligibility.advertisements import Advertisement
 from saffronworks.forwarding.eligibility.blocks import Block, BlockReason, Eligibility
 from saffronworks.forwarding.eligibility.service import PAUSE_GRACE_MS
 from saffronworks.forwarding.eligibility.table import KEEP_GONE_MS, AdvertisedTable
 from saffronworks.forwarding.endpoint_limits.table import AdvertisedLimit
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_events import (
     AskPlanner,
     HoldTaken,
@@ -121,7 +121,7 @@
 
 
 def advertised(status=200, *fields, wall_ms=DATE_MS):
-    return read_advertisement(RawHead(status, [("Request-Id", "r"), *fields]), 7, wall_ms)
+    return read_advertisement(ResponseHead(status, [("Request-Id", "r"), *fields]), 7, wall_ms)
 
 
 def leaving(*values):
@@ -187,9 +187,9 @@
     unknown = UnknownFields()
     with LogLines("saffronworks.platform.answer_fields") as lines:
         for _ in range(2):
-            unknown.check(RawHead(200, [("Server-Mood", "calm"), ("Request-Id", "r")]), "e0")
+            unknown.check(ResponseHead(200, [("Server-Mood", "calm"), ("Request-Id", "r")]), "e0")
         for number in range(200):
-            unknown.check(RawHead(200, [(f"X-{number}", "v")]), "e0")
+            unknown.check(ResponseHead(200, [(f"X-{number}", "v")]), "e0")
     assert len(lines) == UnknownFields.MAX_NAMES and "server-mood" in lines[0]
 
 
@@ -224,7 +224,7 @@
             ):
                 try:
                     await attempt
-                except Break as broken:
+                except ExchangeError as broken:
                     assert broken.withheld and not broken.sent and not broken.unreachable
                 else:
                     raise AssertionError("it was sent")
@@ -247,7 +247,7 @@
     assert isinstance(read, ReadPrompt)
     again = generation_core.step(state, StreamWithheld("d0"), pools, budget, 2)
     assert isinstance(again, AskPlanner) and "d0" in again.avoid and not again.broken
-    assert not state.runs and Break(BreakCause.WITHHELD, sent=False).withheld
+    assert not state.runs and ExchangeError(ExchangeErrorCause.WITHHELD, sent=False).withheld
 
 
 BLOCKS = st.dictionaries(
--- a/saffronworks/tests/features/steps/forwarding_steps.py
+++ b/saffronworks/tests/features/steps/forwarding_steps.py
@@ -8,7 +8,7 @@
 
 from saffronworks.forwarding import plain_core as plain
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
-from saffronworks.forwarding.event_streams import EventCutter
+from saffronworks.forwarding.event_streams import EventSplitter
 from saffronworks.forwarding.forwarder import Forwarder
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
@@ -18,9 +18,9 @@
 from saffronworks.forwarding.retry_budget import RetryBudget
 from saffronworks.forwarding.routing import RoutingTable, Split
 from saffronworks.forwarding.tuning import (
+    AVERAGE_HALF_LIFE_MS,
     BUDGET_USED_SHARE,
-    FORGET_HALF_LIFE_MS,
-    MOST_REDIRECTS,
+    MAX_REDIRECTS,
 )
 from saffronworks.tests.endpoint_fixtures import (
     MOST_STEPS,
@@ -88,7 +88,7 @@
     def check(replies):
         ran, refused, _ = simulate_plain(False, replies)
         assert len(ran) <= 1, ran
-        assert refused <= MOST_REDIRECTS + 1
+        assert refused <= MAX_REDIRECTS + 1
 
     check()
 
@@ -147,13 +147,13 @@
         whole = b"".join(events)
         sent = whole[: len(whole) - missing]
         edges = [0, *sorted(min(cut, len(sent)) for cut in cuts), len(sent)]
-        cutter, out, ids = EventCutter(), b"", ()
+        cutter, out, ids = EventSplitter(), b"", ()
         for start, end in zip(edges, edges[1:], strict=False):
             mark = cutter.feed(sent[start:end])
             if mark is not None:
                 out += mark.data
                 ids += mark.ids
-        assert out + cutter.rest() == sent
+        assert out + cutter.remainder() == sent
         count = out.count(b"id: ")
         assert out == b"".join(events[:count]) and ids == tuple(range(1, count + 1))
 
@@ -174,7 +174,7 @@
 def check_healthy_first(context):
     ranked = context.loads.rank(context.three, 1200)
     assert ranked[0].instance == "e2", ranked
-    later_ms = 1200 + 8 * FORGET_HALF_LIFE_MS
+    later_ms = 1200 + 8 * AVERAGE_HALF_LIFE_MS
     context.loads.of("e2").outstanding = 1
     ranked = context.loads.rank(context.three, later_ms)
     assert ranked[-1].instance == "e2", ranked
@@ -226,7 +226,7 @@
 def check_stays_removed(context):
     directory, lost = Directory(), endpoints(1)[0]
     directory.replace([lost], at(1), now_ms=0)
-    directory.note_replaced("e0")
+    directory.mark_replaced("e0")
     directory.put(lost)
     directory.replace([lost], at(2), now_ms=10)
     assert not is_usable(directory, "e0", 20)
--- a/saffronworks/tests/features/steps/memory_services_steps.py
+++ b/saffronworks/tests/features/steps/memory_services_steps.py
@@ -8,7 +8,7 @@
 from saffronworks.bundles import Role
 from saffronworks.clocks import monotonic_ms
 from saffronworks.forwarding.directory import Directory, ServiceEndpoint
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.node_choice import NodeChoice
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.client import MemoryClient, RunSize
@@ -20,8 +20,8 @@
 from saffronworks.forwarding.routing import EngineSpec, RoutingTable, Service
 from saffronworks.forwarding.tuning import (
     NODE_AVOID_MS,
-    YOUNG_AVOID_MS,
-    YOUNG_MS,
+    STARTUP_MS,
+    STARTUP_NODE_AVOID_MS,
 )
 from saffronworks.kernel import Kernel
 from saffronworks.peers import PeerService
@@ -41,7 +41,7 @@
     planner: MemoryPlanner
 
 
-def make_member(tasks, age_ms=YOUNG_MS):
+def make_member(tasks, age_ms=STARTUP_MS):
     address, directory = free_address(), Directory()
     decoder = ServiceEndpoint("d0", "s", "127.0.0.1:1", "z", role=Role.DECODE)
     prefillers = [
@@ -54,7 +54,7 @@
     kernel, peers = Kernel(address, monotonic_ms), PeerService(address, Codec(messages))
     client = MemoryClient(address, monotonic_ms() - age_ms)
     planner = MemoryPlanner(
-        directory, lambda: table, lambda: client.choice.cores, address, Figures(address)
+        directory, lambda: table, lambda: client.choice.cores, address, MetricsRecorder(address)
     )
     kernel.register(peers)
     kernel.register(planner, messages.MemoryAsk, messages.MemoryRelease, messages.MemoryReport)
@@ -121,12 +121,12 @@
 
 @then("a node that has just started avoids a silent planner for a moment only")
 def avoided_for_a_moment(context):
-    choice = NodeChoice({"a": 1.0, "b": 1.0}, starting_until_ms=YOUNG_MS)
+    choice = NodeChoice({"a": 1.0, "b": 1.0}, starting_until_ms=STARTUP_MS)
     first = choice.choose("s", 0)
-    assert choice.avoid(first, 0) == YOUNG_AVOID_MS
-    assert choice.choose("s", YOUNG_AVOID_MS - 1) != first
-    assert choice.choose("s", YOUNG_AVOID_MS) == first
-    assert choice.avoid(first, YOUNG_MS) == NODE_AVOID_MS
+    assert choice.avoid(first, 0) == STARTUP_NODE_AVOID_MS
+    assert choice.choose("s", STARTUP_NODE_AVOID_MS - 1) != first
+    assert choice.choose("s", STARTUP_NODE_AVOID_MS) == first
+    assert choice.avoid(first, STARTUP_MS) == NODE_AVOID_MS
 
 
 @given("two nodes, one of which is the planner")
--- a/saffronworks/tests/features/steps/memory_steps.py
+++ b/saffronworks/tests/features/steps/memory_steps.py
@@ -23,7 +23,7 @@
     WARM_UP_MS,
 )
 from saffronworks.forwarding.tuning import (
-    RETRY_AFTER_LEAST_MS,
+    RETRY_AFTER_MIN_MS,
 )
 
 CAPACITY = 90_000
@@ -178,7 +178,7 @@
     replies = core.step(plan, core.Tick(), {"d0": "z"}, START_MS + 11 + FIRST_REJECTION_MS)
     times = [rejection.retry_after_ms for rejection in rejected(replies)]
     assert len(times) == 4 and times == sorted(times), times
-    assert times[0] >= RETRY_AFTER_LEAST_MS
+    assert times[0] >= RETRY_AFTER_MIN_MS
 
 
 @then("a late retry is not rejected")
--- a/saffronworks/tests/features/steps/organisations_steps.py
+++ b/saffronworks/tests/features/steps/organisations_steps.py
@@ -3,9 +3,9 @@
 import msgspec
 from behave import then
 
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.messages import CallerRequest, Refuse
-from saffronworks.forwarding.organisations import Organisation, read_key
+from saffronworks.forwarding.organisations import Organisation, parse_key
 from saffronworks.platform.configuration import read_configuration
 from saffronworks.tests.endpoint_fixtures import route
 from saffronworks.tests.platform_place import CONFIG
@@ -21,16 +21,16 @@
 
 @then("an unknown key is rejected as not run, and known keys are served")
 def out_of_date(context):
-    known, unknown = read_key([KEY]), read_key([OTHER_KEY])
+    known, unknown = parse_key([KEY]), parse_key([OTHER_KEY])
     organisation = Organisation("huka270")
     for in_touch, expected in ((True, 401), (False, 503)):
-        identities = Identities(lambda result=in_touch: result, {known: organisation})
-        assert identities.identify(request_with(known), route()) == organisation
-        refusal = identities.identify(request_with(unknown), route())
+        identities = Authenticator(lambda result=in_touch: result, {known: organisation})
+        assert identities.authenticate(request_with(known), route()) == organisation
+        refusal = identities.authenticate(request_with(unknown), route())
         assert isinstance(refusal, Refuse) and refusal.status == expected, refusal
         assert refusal.not_run is not in_touch
         # A malformed key is invalid in every configuration.
-        assert identities.identify(request_with(None), route()).status == 401
+        assert identities.authenticate(request_with(None), route()).status == 401
 
 
 @then("all findings on a configuration's organisations are listed, without a key")
@@ -62,6 +62,6 @@
 
 @then("it is different content for another organisation, and the same content for a second key")
 def contents(context):
-    first = request_with(read_key([KEY]), Organisation("a")).content
-    assert first == request_with(read_key([OTHER_KEY]), Organisation("a")).content
-    assert first != request_with(read_key([KEY]), Organisation("b")).content
+    first = request_with(parse_key([KEY]), Organisation("a")).content
+    assert first == request_with(parse_key([OTHER_KEY]), Organisation("a")).content
+    assert first != request_with(parse_key([KEY]), Organisation("b")).content
--- a/saffronworks/tests/features/steps/place_steps.py
+++ b/saffronworks/tests/features/steps/place_steps.py
@@ -7,10 +7,10 @@
 from result import Err, Ok
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_runner import run_generation
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import (
     CallerRequest,
@@ -48,10 +48,10 @@
     calls = Mock()
     calls.take_hold = AsyncMock(side_effect=holds)
     calls.prefill = AsyncMock(return_value=Ok(KvHandle(reader, "h", 3000)))
-    calls.open_stream = AsyncMock(side_effect=Break(BreakCause.CONNECT, sent=False))
+    calls.open_stream = AsyncMock(side_effect=ExchangeError(ExchangeErrorCause.CONNECT, sent=False))
     budget, quarantine = wide_budget(), Mock(blocks=lambda *_: False)
     loads, idle = LoadTable("z"), Mock()
-    identities, quotas = Identities(lambda: True), Mock()
+    identities, quotas = Authenticator(lambda: True), Mock()
     limits = limits_of_one_node()
     return NodeState(
         "z",
--- a/saffronworks/tests/features/steps/speeds_steps.py
+++ b/saffronworks/tests/features/steps/speeds_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from memory_steps import START_MS, ask, warm_plan
 
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.planning import core, messages
 from saffronworks.forwarding.planning.runs import projected_peak
 from saffronworks.forwarding.planning.service import MemoryPlanner
@@ -231,7 +231,7 @@
 
 @then("at most a few log lines a second report speed changes, with a count and a sample each")
 def few_lines(context):
-    plan, figures = warm_plan(), Figures("n")
+    plan, figures = warm_plan(), MetricsRecorder("n")
     planner = MemoryPlanner(Mock(), Mock(), Mock(), "n", figures)
     for index in range(60):
         for turn in range(20):
@@ -240,7 +240,7 @@
     for later_ms in range(0, 2000, 20):
         planner._log_speeds(plan, START_MS + later_ms)
     logged = sum(figures.counts.values())
-    assert logged == len(figures.take_samples()) == 2 * SPEED_LOGS_PER_S, logged
+    assert logged == len(figures.drain_samples()) == 2 * SPEED_LOGS_PER_S, logged
 
 
 NUMBERS = st.sampled_from((0, -1, -(2**63), 1, 7, 400, 2**63)) | st.integers(-(10**6), 10**9)
--- a/saffronworks/tests/features/steps/starts_steps.py
+++ b/saffronworks/tests/features/steps/starts_steps.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from saffronworks.bundles import Role
-from saffronworks.forwarding.breaks import BreakCause
 from saffronworks.forwarding.connection_pool import ConnectionPool
 from saffronworks.forwarding.directory import (
-    REMEMBER_START_MS,
+    OBSOLETE_START_TTL_MS,
     Directory,
-    Heard,
+    EntryUpdate,
     ServiceEndpoint,
 )
-from saffronworks.forwarding.figures import Figures
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
+from saffronworks.forwarding.figures import MetricsRecorder
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.planning import messages
 from saffronworks.forwarding.planning.plans import PlanState
@@ -51,12 +51,12 @@
     later = start(born_ms=9)
     drained = directory_with(start(born_ms=5, draining=True))
     replaced = directory_with(start(born_ms=5))
-    replaced.note_replaced("e0@5")
+    replaced.mark_replaced("e0@5")
     gone = directory_with(start(born_ms=5))
     gone.remove("e0", now_ms=10)
     for directory in (drained, replaced, gone):
         assert usable(directory) == set()
-        assert directory.put(later) is Heard.RESTARTED
+        assert directory.put(later) is EntryUpdate.RESTARTED
         assert usable(directory) == {"e0@9"}
         assert directory.take_ended() == ["e0@5"] and not directory.take_ended()
 
@@ -83,12 +83,12 @@
     early, late = start(born_ms=5), start(born_ms=9)
     directory = directory_with(early)
     directory.put(late)
-    assert directory.put(early) is Heard.OVER
+    assert directory.put(early) is EntryUpdate.OBSOLETE
     directory.replace([early], at(2), now_ms=10)
     assert usable(directory) == {"e0@9"}
     directory.remove("e0", now_ms=20)
-    assert directory.put(early) is Heard.OVER and not usable(directory)
-    assert directory.put(late) is Heard.CHANGED and usable(directory) == {"e0@9"}
+    assert directory.put(early) is EntryUpdate.OBSOLETE and not usable(directory)
+    assert directory.put(late) is EntryUpdate.CHANGED and usable(directory) == {"e0@9"}
 
 
 @then("an entry without a start time is identified by its name")
@@ -96,23 +96,23 @@
     plain, timed = start(), start(born_ms=5)
     directory = directory_with(plain)
     assert usable(directory) == {"e0"}
-    assert directory.put(timed) is Heard.RESTARTED
-    assert directory.put(attrs.evolve(plain, draining=True)) is Heard.CHANGED
+    assert directory.put(timed) is EntryUpdate.RESTARTED
+    assert directory.put(attrs.evolve(plain, draining=True)) is EntryUpdate.CHANGED
     assert directory.named("e0").instance == "e0@5" and not usable(directory)
     replaced = directory_with(plain)
-    replaced.note_replaced("e0")
-    assert replaced.put(plain) is Heard.OVER
-    assert replaced.put(start(address="127.0.0.1:2")) is Heard.CHANGED
+    replaced.mark_replaced("e0")
+    assert replaced.put(plain) is EntryUpdate.OBSOLETE
+    assert replaced.put(start(address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
 
 @then("two entries may have one address until the endpoint there answers")
 def one_address(context):
     directory = directory_with(start("e0", 5), start("e1", 9), start("e2"))
     assert usable(directory) == {"e0@5", "e1@9", "e2"}
-    directory.note_replaced(StartId("e1@9"))
-    assert directory.put(start("e1", 9)) is Heard.OVER
+    directory.mark_replaced(StartId("e1@9"))
+    assert directory.put(start("e1", 9)) is EntryUpdate.OBSOLETE
     assert usable(directory) == {"e0@5", "e2"}
-    assert directory.put(start("e1", 9, address="127.0.0.1:2")) is Heard.CHANGED
+    assert directory.put(start("e1", 9, address="127.0.0.1:2")) is EntryUpdate.CHANGED
 
 
 NAMES = ("a", "b", "c")
@@ -130,7 +130,7 @@
     st.tuples(st.just("lapse"), st.sampled_from(NAMES)),
     st.tuples(st.just("replaced"), st.sampled_from(NAMES)),
     st.tuples(st.just("list"), st.lists(ENTRIES, max_size=4)),
-    st.tuples(st.just("wait"), st.integers(1, REMEMBER_START_MS // 2)),
+    st.tuples(st.just("wait"), st.integers(1, OBSOLETE_START_TTL_MS // 2)),
 )
 LAPSE_MS = 2000
 
@@ -160,7 +160,7 @@
             known = directory.named(name)
             if known is not None:
                 model.replaced_at[name] = known.address
-                directory.note_replaced(known.instance)
+                directory.mark_replaced(known.instance)
         case "list", listed:
             for endpoint in listed:
                 model.receive(endpoint)
@@ -172,7 +172,7 @@
 
     finished = True
     idle_since_ms = 0.0
-    own_calls_only = False
+    control_calls_only = False
 
     def __init__(self):
         self.closed = self.cause = None
@@ -180,7 +180,7 @@
     def close(self):
         self.closed = True
 
-    def give_up(self, cause):
+    def abort_exchange(self, cause):
         self.cause = cause
 
 
@@ -200,13 +200,13 @@
         self.now_ms = now_ms
         ended = self.directory.take_ended()
         for instance in ended:
-            self.pool.end(instance)
+            self.pool.close_instance(instance)
         known = set(self.directory.endpoints)
-        self.pool.keep_only(known)
+        self.pool.close_except(known)
         self.loads.forget_all_but(known)
         for instance in ended:
             for connection in self.busy.pop(instance, []):
-                assert connection.cause is BreakCause.RESTARTED
+                assert connection.cause is ExchangeErrorCause.RESTARTED
         assert not set(self.pool._idle) - known and not set(self.pool._busy) & set(ended)
         self._connect()
         self._ask()
@@ -216,7 +216,7 @@
             idle, busy = Connection(), Connection()
             self.pool._busy.setdefault(endpoint.instance, set()).add(busy)
             self.busy.setdefault(endpoint.instance, []).append(busy)
-            self.pool.give_back(endpoint, idle)
+            self.pool.release(endpoint, idle)
 
     def _ask(self):
         self.asked += 1
@@ -281,7 +281,9 @@
 
 
 def planner_of(directory):
-    planner = MemoryPlanner(directory, lambda: None, lambda: (), "127.0.0.1:9", Figures("n"))
+    planner = MemoryPlanner(
+        directory, lambda: None, lambda: (), "127.0.0.1:9", MetricsRecorder("n")
+    )
     planner.plans["s"] = PlanState(0, 90_000, 8)
     return planner, planner.plans["s"]
 
--- a/saffronworks/tests/features/steps/streams_steps.py
+++ b/saffronworks/tests/features/steps/streams_steps.py
@@ -8,8 +8,8 @@
 import anyio
 from behave import given, then, when
 
-from saffronworks.forwarding.breaks import Break
-from saffronworks.forwarding.event_streams import EventCutter, EventSequence
+from saffronworks.forwarding.event_streams import EventSequence, EventSplitter
+from saffronworks.forwarding.exchange_errors import ExchangeError
 from saffronworks.forwarding.generation_events import Cut, RelayBroken, StartStream, StreamAnswered
 from saffronworks.forwarding.generation_state import Delivered
 from saffronworks.forwarding.messages import CallerRequest, KvHold, Refuse
@@ -112,7 +112,7 @@
 def check_sequences(context):
     def following(*sent):
         sequence = EventSequence()
-        sequence.note(sent)
+        sequence.record(sent)
         return [first for first in range(12) if sequence.continues((first,))]
 
     assert following(1, 2, 3) == [4] and following(7, 8) == [9]
@@ -120,7 +120,7 @@
     assert following(9) == [10, 11], "one id alone does not show that ids are consecutive"
     assert following() == [], "the id of the last event is unknown"
     sequence = EventSequence()
-    sequence.note((1, 2))
+    sequence.record((1, 2))
     assert not sequence.continues(()), "events without ids may belong to any run"
 
 
@@ -174,7 +174,7 @@
     async def play():
         try:
             await context.relay.await_first(StreamRun(RestartedExchange()), 200)
-        except Break:
+        except ExchangeError:
             now_ms[0] += 1
             return
         raise AssertionError("a run that starts again was relayed")
@@ -190,7 +190,7 @@
 @then("26 MB of an unfinished event take less than a second of processor time")
 def check_searched_once(context):
     """Takes 0.1 s; 18 s if all buffered bytes are searched again with each part."""
-    cutter, began_s = EventCutter(), time.process_time()
+    cutter, began_s = EventSplitter(), time.process_time()
     for _ in range(400):
         assert cutter.feed(b"x" * 65_536) is None
         assert time.process_time() - began_s < 1.0
--- a/saffronworks/tests/features/steps/suspicion_steps.py
+++ b/saffronworks/tests/features/steps/suspicion_steps.py
@@ -10,11 +10,11 @@
 
 from saffronworks.forwarding import generation_events as gen
 from saffronworks.forwarding import plain_core
-from saffronworks.forwarding.breaks import Break, BreakCause
 from saffronworks.forwarding.directory import Directory
+from saffronworks.forwarding.exchange_errors import ExchangeError, ExchangeErrorCause
 from saffronworks.forwarding.generation_core import step as generation_step
 from saffronworks.forwarding.generation_state import Delivered
-from saffronworks.forwarding.identity import Identities
+from saffronworks.forwarding.identity import Authenticator
 from saffronworks.forwarding.loads import LoadTable
 from saffronworks.forwarding.messages import ENDS_ENDPOINTS, Begin, CallerRequest, KvHandle, KvHold
 from saffronworks.forwarding.planning import messages as planning_messages
@@ -99,7 +99,7 @@
     )
 
 
-def broke(content=CRASHING, number=1, cause=BreakCause.CLOSED, **changes):
+def broke(content=CRASHING, number=1, cause=ExchangeErrorCause.CLOSED, **changes):
     return events.RunFailed(content, endpoint_at(number), cause, **changes)
 
 
@@ -111,7 +111,7 @@
     """Let a node record ends of endpoints while they run a content."""
     for number in numbers:
         instance = endpoint_at(number).instance
-        step(state, broke(content, number, BreakCause.RESTARTED), now_ms)
+        step(state, broke(content, number, ExchangeErrorCause.RESTARTED), now_ms)
         assert instance in state.table.find(content).ended
 
 
@@ -138,13 +138,17 @@
             assert (commands == again) is (number < len(found)), (found, commands)
         assert (state.table.find(CRASHING) is not None) is shows, found
         assert not state.probes
-    for cause in (BreakCause.CONNECT, BreakCause.NOT_HTTP, BreakCause.OUT_OF_ORDER):
+    for cause in (
+        ExchangeErrorCause.CONNECT,
+        ExchangeErrorCause.NOT_HTTP,
+        ExchangeErrorCause.OUT_OF_ORDER,
+    ):
         assert not step(new_state(), broke(cause=cause), 0), cause
 
 
 @then("an endpoint that leaves as planned causes no suspicion")
 def planned(context):
-    for cause in BreakCause:
+    for cause in ExchangeErrorCause:
         state = new_state()
         assert not step(state, broke(cause=cause, leaving=True), 0) and state.idle
 
@@ -171,12 +175,14 @@
             Mock(),
             Mock(),
             quarantine,
-            Identities(lambda: True),
+            Authenticator(lambda: True),
             Mock(),
             Mock(),
             Mock(),
         )
-        node.note_break(kind, request, endpoint_at(1), Break(BreakCause.RESET, sent))
+        node.note_break(
+            kind, request, endpoint_at(1), ExchangeError(ExchangeErrorCause.RESET, sent)
+        )
         assert node.quarantine.record_failure.called is noted, (kind, sent)
 
 
--- a/saffronworks/tests/quarantine_plays.py
+++ b/saffronworks/tests/quarantine_plays.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from saffronworks.forwarding.breaks import BreakCause
 from saffronworks.forwarding.contents import ContentId
 from saffronworks.forwarding.directory import ServiceEndpoint
+from saffronworks.forwarding.exchange_errors import ExchangeErrorCause
 from saffronworks.forwarding.quarantine import events
 from saffronworks.forwarding.quarantine.core import QuarantineState, step
 from saffronworks.forwarding.quarantine.events import ProbeResult
@@ -136,7 +136,7 @@
     def _end(self, name, runs_left):
         self.ends.append(self.now_ms)
         endpoint = endpoint_at(next(self._endpoints))
-        self.take(name, events.RunFailed(CRASHING, endpoint, BreakCause.CLOSED))
+        self.take(name, events.RunFailed(CRASHING, endpoint, ExchangeErrorCause.CLOSED))
         admission = self.nodes[name].state.table.admission(CRASHING, self.now_ms)
         if runs_left and admission is Admission.ALLOWED:
             self._run(name, runs_left)
