--- a/saffronworks/forwarding/planning/core.py
+++ b/saffronworks/forwarding/planning/core.py
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Tick:
-    """Lets time pass; the planner's service sends one every `PLAN_EVERY_MS`."""
+    """Triggers expiries and rejections; the planner's service sends one every `PLAN_EVERY_MS`."""
 
 
 Event = MemoryAsk | MemoryRelease | MemoryReport | ReadingEnded | Tick
@@ -107,7 +107,7 @@
 
 
 def _drop_superseded(replies: list[Reply], granted: list[Reply]) -> list[Reply]:
-    """Drop the replies that tell a request to wait, where it is granted in the same step."""
+    """Drop each `MemoryQueued` reply whose request is granted in the same step."""
     messages = [reply.message for reply in granted]
     settled = {message.request_id for message in messages if isinstance(message, MemoryGrant)}
 
@@ -133,7 +133,7 @@
 
 
 def _learn_from_request(state: PlanState, ask: MemoryAsk, now_ms: int) -> None:
-    """Take a new request into the statistics; a repeated one is not counted again."""
+    """Add a new request to the statistics; a repeated one is not counted again."""
     state.order.rates.record(clip_rank(ask.priority), now_ms)
     mean_tokens = state.mean_answer_tokens or float(ask.likely_tokens)
     state.mean_answer_tokens = mean_tokens + LENGTH_SAMPLE_WEIGHT * (
@@ -144,7 +144,10 @@
 
 
 def _revoke_grant(state: PlanState, request_id: str, now_ms: int) -> None:
-    """Revoke a grant for which the endpoint had no room: its request came again."""
+    """Remove the run of a request that was sent again.
+
+    If the run has no tokens, the endpoint had no room for it.
+    """
     run = _remove_run(state, request_id)
     if run is not None and not run.made_tokens:
         state.full_until_ms[run.instance] = now_ms + FULL_ENDPOINT_MS
@@ -175,7 +178,7 @@
 
 
 def _end_prefill(state: PlanState, event: ReadingEnded, now_ms: int) -> None:
-    """Take the prompt out of the prefill queue, as finished or as cancelled."""
+    """Remove the prompt from the prefill queue, as finished or as cancelled."""
     run = state.runs.get(event.request_id)
     if run is None or run.reader is None:
         return
@@ -188,10 +191,10 @@
 def _apply_report(state: PlanState, report: MemoryReport, now_ms: int) -> None:
     """Replace the known runs of a node by the reported ones.
 
-    A recent grant that the node never reported stays, since the report may have been sent before
-    it. A standby planner learns of ends from reports alone: when it kept runs of a quarter of a
-    second until they expired, it counted 40 runs where there were 6 after a takeover, and rejected
-    callers while memory was free.
+    A recent run that no report has named stays, since the report may have been sent before its
+    grant. A standby planner learns only from reports which runs have ended. When it kept runs that
+    take a quarter of a second until they expired, it counted 40 runs instead of 6 after a takeover,
+    and rejected callers while memory was free.
     """
     state.reported_ms[report.reply_to] = now_ms
     state.speeds.count_runs((run.instance for run in state.runs.values()), now_ms)
@@ -235,7 +238,7 @@
 
 
 def _expire(state: PlanState, now_ms: int) -> None:
-    """Remove runs of nodes that no longer report, and waiters beyond their patience."""
+    """Remove runs of nodes that no longer report, and waiters past their patience deadline."""
     for request_id, run in list(state.runs.items()):
         last_known_ms = max(run.began_ms, state.reported_ms.get(run.reply_to, 0))
         if now_ms - last_known_ms > REPORT_LAPSE_MS:
@@ -311,7 +314,7 @@
 def _choose_endpoint(
     state: PlanState, ask: MemoryAsk, usable: Occupancies, uses_local_prefill: bool, now_ms: int
 ) -> StartId | None:
-    """Choose the endpoint for a run; with local prefill only one without a prefill backlog."""
+    """Choose the endpoint for a run; with local prefill, one without a prefill backlog."""
     if not uses_local_prefill:
         return state.best_fit(ask, usable)
     idle = {
