--- a/saffronworks/forwarding/planning/client.py
+++ b/saffronworks/forwarding/planning/client.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class RunOwner:
-    """The owner of a run: its combined rank, lower first, and organisation, empty if none."""
+    """The priority rank of a run, lower first, and its organisation, empty if it has none."""
 
     priority: int = DEFAULT_RANK
     organisation: str = ""
@@ -112,7 +112,7 @@
         return self.choice.choose(service, self._kernel.now_ms())
 
     async def ask(self, ask: MemoryAsk) -> MemoryGrant | MemoryRefusal | None:
-        """Request memory; None if the planner is silent or its plan is not complete."""
+        """Request memory; return None if the planner is silent or its plan is not complete."""
         planner = self._planner(ask.service) if self._kernel else None
         if planner is None:
             return None
@@ -194,23 +194,23 @@
         size: RunSize,
         owner: RunOwner = NO_OWNER,
     ) -> None:
-        """Record a run for the reports to the planner, also if it was not planned."""
+        """Record a run for the reports to the planner, even if it was not planned."""
         if self._kernel is not None:
             now_ms = self._kernel.now_ms()
             self._runs[request_id] = _Run(service, instance, size, owner, now_ms, 0, now_ms)
 
     def progress(self, request_id: str, made_tokens: int) -> None:
-        """Update the tokens of a run's answer."""
+        """Record how many tokens of a run's answer have arrived."""
         run = self._runs.get(request_id)
         if run is not None and self._kernel is not None:
             run.made_tokens, run.made_ms = made_tokens, self._kernel.now_ms()
 
     def end_prefill(self, ended: ReadingEnded) -> None:
-        """Tell the planner that a prompt's prefill has finished, or will not take place."""
+        """Report to the planner that a prompt's prefill has finished or will not take place."""
         self._send_to_planner(ended)
 
     def end(self, release: MemoryRelease) -> None:
-        """Remove a run that has ended or was given up, and tell the planner."""
+        """Remove a run that has ended or was given up, and send its release to the planner."""
         self._runs.pop(release.request_id, None)
         self._send_to_planner(release)
 
