--- a/saffronworks/forwarding/planning/messages.py
+++ b/saffronworks/forwarding/planning/messages.py
@@ -141,7 +141,7 @@
 
 @attrs.frozen
 class ReportWanted:
-    """Planner to entry: send a report at once, also without runs, since a new plan starts."""
+    """Planner to entry: a new plan starts; send a report at once, even if it has no runs."""
 
     service: str
     reply_to: str
