--- a/saffronworks/forwarding/planning/plans.py
+++ b/saffronworks/forwarding/planning/plans.py
@@ -51,7 +51,8 @@
 
     `began_ms` is the time of the first event, or of the first one after a long pause, in which the
     process may have been suspended. Endpoints that failed a request are ejected for a while.
-    `full_until_ms` holds endpoints that had no room for a grant, until then or the end of a run.
+    `full_until_ms` maps each endpoint that had no room for a grant to the time until which it gets
+    no other one; the end of a run there removes the entry.
     `kept` maps endpoints to the priority for which the last step reserved them. `nodes` are the
     nodes that report, and `own_address` is the address that they report to.
     """
