--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -12,7 +12,8 @@
 
 __all__ = ["Excess", "Waiter", "WaiterOrder", "count_by_priority"]
 
-# Maps an organisation, a priority and a time to the whole fair shares that the organisation has.
+# Maps an organisation, a priority and a time to the number of whole fair shares that the
+# organisation has.
 Excess = Callable[[str, int, int], float]
 
 
@@ -39,9 +40,9 @@
         return now_ms > self.target_deadline_ms
 
     def deadline_ms(self, now_ms: int) -> int:
-        """Return the deadline for the target, or once it has passed, that of the patience.
+        """Return the deadline of the target, or the patience deadline once that has passed.
 
-        A caller that retries after a rejection has no later deadline for that: queued behind all
+        A retry after a rejection gets no later deadline than a first attempt: queued behind all
         first attempts, most retries would be late again.
         """
         return self.patience_deadline_ms if self.is_late(now_ms) else self.target_deadline_ms
@@ -67,8 +68,9 @@
 class WaiterOrder:
     """Orders waiters: in-time before late ones, then by priority, excess and deadline.
 
-    `passes` counts for each priority the successive grants to more urgent waiters while one of that
-    priority waited in time. After `rates.max_passes` of them the priority is due.
+    A waiter is in time while a grant can still meet its target. `passes` counts for each priority
+    the successive grants to more urgent waiters while it had an in-time waiter. After
+    `rates.max_passes` of them the priority is due.
     """
 
     excess: Excess = _no_excess
@@ -78,7 +80,8 @@
     def offers(self, waiters: Iterable[Waiter], now_ms: int) -> Iterator[Waiter]:
         """Yield waiters in the order in which to grant; report each grant to `record_grant`.
 
-        At most `MAX_OVERDUE_EXAMINED` come first for being due, since they may fit nowhere.
+        At most `MAX_OVERDUE_EXAMINED` waiters come first because their priority is due, since those
+        may fit nowhere.
         """
         queues, late = self._split(waiters, now_ms)
         overdue_left = MAX_OVERDUE_EXAMINED
@@ -89,7 +92,7 @@
         yield from late
 
     def forecast(self, waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
-        """Return waiters in the order of their grants if each fits when its turn comes."""
+        """Return the expected order of grants, assuming that each waiter fits at its turn."""
         queues, late = self._split(waiters, now_ms)
         passes, order = dict(self.passes), []
         while queues:
