--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -96,8 +96,8 @@
 MAX_PLAN_REQUESTS = 4
 # Share of the expected answer that a planned run reserves; the plan leaves room for the rest.
 PLANNED_RESERVE_SHARE = 0.25
-# A first attempt is rejected after this waiting time at the earliest, a little before a fifth of
-# the target.
+# A first attempt whose grant would miss the target is rejected after this waiting time, a little
+# before a fifth of the target.
 FIRST_REJECTION_MS = 150
 # Number of waiters that are examined in each step, from the front of the order.
 MAX_EXAMINED = 8
@@ -113,8 +113,8 @@
 # in the mean, so that rates follow a burst of a few seconds.
 RATE_WINDOW_MS = 500
 RATE_WEIGHT = 0.2
-# With several priorities a first attempt is rejected after this share of the target at the
-# earliest, if that is less than `FIRST_REJECTION_MS`.
+# With several priorities the rejection of such a first attempt comes after this share of the
+# target, if that is earlier than `FIRST_REJECTION_MS`.
 FIRST_REJECTION_SHARE = 1 / 8
 # How much longer an overload is expected to last; overloads last 3 to 10 s. Without this limit,
 # requests of a short burst are rejected although they would still be served.
