--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -1,9 +1,10 @@
 """Max-min fair shares of scarce decode memory among organisations, by priority.
 
 An organisation's service is the memory that its runs hold, plus its recent grants. The unit is a
-run of mean size. The fair level of a priority is the largest share of any organisation, if its
-service were divided by max-min fairness among all that hold or request memory. Shares only order
-waiters: memory that some leave unused goes to others, whatever their excess.
+run of mean size. The fair level of a priority is the largest share that an organisation would get
+if the service of that priority were divided by max-min fairness among all organisations that hold
+or request memory. The excess of an organisation is its service in whole fair levels. Shares only
+order waiters: memory that some organisations leave unused goes to others, whatever their excess.
 """
 
 from collections import Counter
@@ -84,7 +85,7 @@
     def update(self, runs: Mapping[str, Run], waiters: Mapping[str, _Waiting], now_ms: int) -> None:
         """Update the shares from the runs and waiters, before the next grants.
 
-        Only waiters that the previous step did not serve wait for lack of capacity.
+        Memory is scarce while a waiter that the previous step did not serve is still waiting.
         """
         scarce = any(request_id in waiters for request_id in self._unserved)
         self._applies = scarce and self._is_shared(now_ms)
@@ -116,7 +117,7 @@
             self._granted.evict_least(CLAIMANTS_KEPT, now_ms)
 
     def record_revoked_grant(self, run: Run, now_ms: int) -> None:
-        """Refund a grant that found no room, since its request comes again."""
+        """Refund a grant that found no room, since its request is charged again when granted."""
         claimant = _claimant(run)
         if claimant in self._granted.served:
             self._charge(claimant, -self._cost(_tokens(run)), now_ms)
