--- a/saffronworks/forwarding/planning/lengths.py
+++ b/saffronworks/forwarding/planning/lengths.py
@@ -31,8 +31,8 @@
 class AnswerLengths:
     """The latest ratios of an answer's length to its hint.
 
-    The longer a run is already, the longer it is expected to become: where half of all answers
-    exceed their hint, one that has reached its hint is expected to make another half of it.
+    The longer a run is already, the longer it is expected to become: by the prior ratios, half of
+    all answers exceed their hint, and one that has reached it is expected to grow by half of it.
     """
 
     _newest: deque[float] = attrs.Factory(lambda: deque(_prior(), LENGTH_SAMPLES))
