--- a/saffronworks/forwarding/planning/prefill.py
+++ b/saffronworks/forwarding/planning/prefill.py
@@ -36,7 +36,7 @@
         return queue.backlog_ms(self.pace.of(instance), now_ms) if queue else 0.0
 
     def choose(self, zone: str, prompt_tokens: int, now_ms: int) -> StartId:
-        """Return the prefiller that finishes first, where other zones pay a penalty.
+        """Return the prefiller that finishes first, with a penalty for other zones.
 
         There must be at least one prefiller.
         """
@@ -49,7 +49,7 @@
         return min(self.prefillers, key=cost)
 
     def uses_local_prefill(self, now_ms: int) -> bool:
-        """Return whether decode endpoints do local prefill: no prefiller is free soon."""
+        """Return whether decode endpoints do local prefill: all prefillers have a long backlog."""
         return self._prefillers_wait_ms(now_ms) > 0
 
     def wait_ms(self, decoders: Iterable[StartId], now_ms: int) -> float:
@@ -58,7 +58,7 @@
         return min(self._prefillers_wait_ms(now_ms), local_ms)
 
     def _prefillers_wait_ms(self, now_ms: int) -> float:
-        """Return the time until a backlog is within the limit; infinite without prefillers."""
+        """Return the time until a prefiller's backlog is within the limit, infinite without any."""
         if not self.prefillers:
             return math.inf
         return max(0.0, self.prefillers_free_in_ms(now_ms) - MAX_PREFILL_BACKLOG_MS)
