--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -152,5 +152,5 @@
             self._reset_measurement()
 
     def _reset_measurement(self) -> None:
-        """Start a new sample, since the time from the last finish is not all accounted for."""
+        """Start a new sample, as some prompts since the last finish are no longer known."""
         self._last_finish_ms, self._early_tokens = None, 0
