--- a/saffronworks/forwarding/planning/rejections.py
+++ b/saffronworks/forwarding/planning/rejections.py
@@ -50,9 +50,10 @@
     """Reject the waiters whose grant is forecast too late, once a rejection is due.
 
     The forecast assumes only the endpoints that a grant may use: prefillers, and decode endpoints
-    with memory for a local prefill. With all decode endpoints, 5 instead of 1 in 100 first attempts
-    of a burst waited and were late, which an early rejection would have had back in time; where
-    memory is the bottleneck 10 instead of 4 (`planner_load`). Rejected waiters do not delay others.
+    with memory for a local prefill. When it assumed all decode endpoints, 5 instead of 1 in 100
+    first attempts of a burst waited and were late, although an early rejection would have let their
+    callers retry in time; where memory is the bottleneck, 10 instead of 4 in 100 (`planner_load`).
+    Rejected waiters do not count in the forecast of others.
     """
     several_priorities = state.order.rates.has_several_priorities(now_ms)
     if not any(
@@ -115,9 +116,9 @@
 
     `ahead` counts the waiters ahead of it, by priority.
 
-    A priority gets its grants by the bound against starvation however many requests are more
-    urgent. A forecast by the number of all waiters ahead would reject requests that the bound
-    admits.
+    The bound against starvation grants a priority its turns, however many more urgent requests
+    there are. A forecast from the number of all waiters ahead would reject requests that get such
+    a turn in time.
 
     Once a waiter is late, all in-time waiters go first, so it gets nothing while requests arrive
     faster than runs end.
@@ -156,7 +157,7 @@
 def _retry_after_ms(
     state: PlanState, waiter: Waiter, grant_at_ms: float, per_s: float, now_ms: int
 ) -> int:
-    """Return the retry delay; retries are spread so that they take a share of the grants."""
+    """Return the retry delay; retries are spread to take `RETRY_SHARE` of the grants."""
     priority = waiter.priority
     earliest_ms: float = now_ms + RETRY_AFTER_LEAST_MS
     if state.order.rates.has_several_priorities(now_ms):
