--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -24,7 +24,7 @@
     count: int = 0
 
     def close(self) -> None:
-        """Take the present window into the mean and the variance."""
+        """Update the mean and the variance by the present window, and restart its count."""
         deviation = self.count - self.mean
         self.mean += RATE_WEIGHT * deviation
         self.variance = (1 - RATE_WEIGHT) * (self.variance + RATE_WEIGHT * deviation**2)
@@ -46,7 +46,7 @@
         rate.count += 1
 
     def has_several_priorities(self, now_ms: int) -> bool:
-        """Return whether several priorities had recent requests; else they have no effect."""
+        """Return whether several priorities had recent requests; otherwise they have no effect."""
         self._roll(now_ms)
         return len(self._rates) > 1
 
@@ -71,7 +71,7 @@
         return sum(rate.mean for name, rate in self._rates.items() if name < more_urgent_than)
 
     def expected(self, more_urgent_than: float, span_ms: float, now_ms: int) -> float:
-        """Return the expected requests of more urgent priorities in a span, plus one deviation."""
+        """Return the expected requests of more urgent priorities in a span, plus one sigma."""
         self._roll(now_ms)
         windows = span_ms / RATE_WINDOW_MS
         rates = [rate for name, rate in self._rates.items() if name < more_urgent_than]
