--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -33,7 +33,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Organisations that are logged for a service every five seconds.
+# Limit of the organisations of a service that are logged every five seconds.
 MAX_SHARE_LINES = 8
 
 
@@ -138,7 +138,7 @@
             )
 
     def _log_speeds(self, plan: PlanState, now_ms: int) -> None:
-        """Log and count the endpoints whose speed has changed by a step."""
+        """Log and count the endpoints whose speed has changed by `SPEED_LOG_STEP`."""
         for news in plan.speeds.take_changes(now_ms):
             logger.info(
                 "event=endpoint_speed service=%s endpoint=%s factor=%.2f ms_per_token=%.3f "
@@ -161,7 +161,7 @@
             plan.forget_all_but(set(self._directory.endpoints))
 
     def _find_plan(self, service: str, now_ms: int) -> PlanState | None:
-        """Return the plan of a service, created by its first message; None if it has none."""
+        """Return the plan of a service, created by its first message; None if it has no engines."""
         if service not in self.plans:
             table = self._table()
             known = table.services.get(service) if table else None
@@ -179,7 +179,7 @@
         return self.plans[service]
 
     def _count(self, service: str, outcome: str) -> dict[int, int]:
-        """Return the requests with this outcome since the node's start, by priority."""
+        """Return the number of requests with this outcome since the node's start, by priority."""
         return {
             priority: count
             for (name, settled, priority), count in self._settled.items()
@@ -249,7 +249,7 @@
 
 
 def _resolve(event: core.Event, directory: Directory) -> core.Event:
-    """Resolve endpoint names to starts, since nodes of earlier versions send names alone."""
+    """Replace endpoint names by start identities, as nodes of earlier versions send names only."""
     resolve = directory.resolve
     match event:
         case MemoryAsk(avoid=avoid, broken=broken) if avoid or broken:
