--- a/saffronworks/forwarding/planning/share_counts.py
+++ b/saffronworks/forwarding/planning/share_counts.py
@@ -7,11 +7,12 @@
 
 __all__ = ["OTHERS", "Claimant", "Decision", "ShareCounts", "ShareRow", "ShareSummary"]
 
-# A priority and an organisation.
+# An organisation at one priority, as (priority, organisation).
 Claimant = tuple[int, str]
 
 SUMMARY_EVERY_MS = 5000
-# Limit of counted claimants. A summary is due long before; if none is taken, counts restart.
+# Limit of counted claimants. A summary is due long before it is reached; if none is taken, the
+# counts restart.
 MAX_COUNTED = 4096
 # Limit of decisions that are not logged yet; a step of the planner makes some hundreds in a burst.
 MAX_DECISIONS = 512
