--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -67,7 +67,7 @@
 
 @attrs.define
 class EndpointSpeeds:
-    """The time per token of each endpoint's start, relative to the service's average.
+    """The time per token of each start of an endpoint, relative to the service's average.
 
     An engine is slower the more runs it has. Without a correction, an endpoint would look slow
     because it has more runs than others. The effect of load is estimated from how the samples of
@@ -93,7 +93,7 @@
     def factor(self, instance: StartId, now_ms: int) -> float:
         """Return an endpoint's time per token as a multiple of the average; 1 if none is known.
 
-        The factor is that at an equal number of runs, so endpoints can be compared by it.
+        The factor is corrected for the number of runs, so endpoints can be compared by it.
         """
         speed = self._speeds.get(instance)
         if speed is None:
@@ -198,8 +198,8 @@
 def _sample_weight(span_ms: int) -> float:
     """Return the weight of a sample by the time that it covers.
 
-    Twelve runs of one engine report together, and all their samples may cover the same moment in
-    which the engine was slow.
+    A short sample counts less: twelve runs of one engine are reported together, and all their
+    samples may cover the same moment in which the engine was slow.
     """
     return SAMPLE_WEIGHT * min(1.0, span_ms / FULL_WEIGHT_MS)
 
