--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -99,7 +99,7 @@
 
 
 def _before_first_byte(state: GenerationState, result: _Result) -> AttemptCommand | StartCommand:
-    """Nothing was sent yet: send the head of a stream or of a failure, or a refusal."""
+    """Before any byte was sent, start a stream, relay a failure or send a refusal."""
     match result:
         case _StreamReady(head):
             state.delivered = Delivered.STREAM
@@ -239,7 +239,7 @@
 
 
 def _take_next(state: GenerationState, pools: Pools, now_ms: int) -> _Result:
-    """Take a hold at the best decode endpoint that was not asked in this round."""
+    """Take a hold at the best decode endpoint not asked in this round; else wait or give up."""
     if now_ms >= state.deadline_at_ms:
         return _GiveUp(_deadline_refusal(state))
     for endpoint in pools.decoders:
