--- a/saffronworks/forwarding/generation_state.py
+++ b/saffronworks/forwarding/generation_state.py
@@ -24,7 +24,7 @@
 
 
 def planned_tokens(prompt: PromptSize, capacity_tokens: int) -> int:
-    """Return the tokens to reserve where the planner leaves room for answers that grow."""
+    """Return the tokens to reserve for a planned run; the plan leaves room for its growth."""
     return min(
         prompt.prompt_tokens + int(PLANNED_RESERVE_SHARE * prompt.likely_tokens), capacity_tokens
     )
@@ -120,7 +120,7 @@
 
     @property
     def max_wait_at_ms(self) -> float:
-        """The latest time to wait for memory until; after it the caller is about to disconnect."""
+        """The end of any wait for memory: after this time the caller is about to disconnect."""
         if self.answer_started:
             return self.deadline_at_ms - RESUME_LEAST_LEFT_MS
         first_event_timeout_ms = min(
@@ -130,7 +130,7 @@
 
     @property
     def waits_until_ms(self) -> float:
-        """The time until which a request waits for memory; a first refusal is sent early."""
+        """The time until which a request waits for memory; earlier for a first attempt."""
         if self.answer_started or self.returned:
             return self.max_wait_at_ms
         return self.arrived_ms + PATIENCE_SHARE * self.target_ms
