--- a/saffronworks/forwarding/generation_events.py
+++ b/saffronworks/forwarding/generation_events.py
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class PlanSilent:
-    """The planner gave no answer; the request continues without one."""
+    """The planner did not answer or has no complete plan; the request continues without it."""
 
 
 @attrs.frozen
@@ -78,7 +78,7 @@
 
 @attrs.frozen
 class PromptRead:
-    """A prefill endpoint read the prompt; `handle` names its KV cache entry."""
+    """A prefill endpoint prefilled the prompt; `handle` names its KV cache entry."""
 
     handle: KvHandle
 
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class StreamAnswered:
-    """A decode endpoint answered; of a success the first part of the body was received too."""
+    """A decode endpoint answered; for a success, the first part of the body has arrived too."""
 
     instance: StartId
     head: AnswerHead
@@ -215,8 +215,8 @@
 )
 # Commands that lead to an attempt at an endpoint; valid at any time.
 AttemptCommand = AskPlanner | TakeHold | ReadPrompt | OpenStream | Wait
-# Each sends the head of an answer; valid only while none was sent.
+# Commands that send the head of an answer; valid only before a head was sent.
 StartCommand = Refuse | StartStream | RelayFailure
-# None sends a head; valid only after a stream has started.
+# Commands that send no head; valid only after an answer has started.
 FollowUpCommand = ContinueStream | Cut
 Command = AttemptCommand | StartCommand | FollowUpCommand
