--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -71,7 +71,7 @@
         return sum(rate.mean for name, rate in self._rates.items() if name < more_urgent_than)
 
     def expected(self, more_urgent_than: float, span_ms: float, now_ms: int) -> float:
-        """Return the expected requests of more urgent priorities in a span, plus one sigma."""
+        """Return the expected more urgent requests in a span, plus one standard deviation."""
         self._roll(now_ms)
         windows = span_ms / RATE_WINDOW_MS
         rates = [rate for name, rate in self._rates.items() if name < more_urgent_than]
