--- a/saffronworks/forwarding/planning/service.py
+++ b/saffronworks/forwarding/planning/service.py
@@ -161,7 +161,7 @@
             plan.forget_all_but(set(self._directory.endpoints))
 
     def _find_plan(self, service: str, now_ms: int) -> PlanState | None:
-        """Return the plan of a service, created by its first message; None if it has no engines."""
+        """Return the plan of a service, created if missing; None if unknown or without engines."""
         if service not in self.plans:
             table = self._table()
             known = table.services.get(service) if table else None
