--- a/saffronworks/forwarding/generation_runner.py
+++ b/saffronworks/forwarding/generation_runner.py
@@ -246,7 +246,7 @@
         return events.PromptRead(answer.ok_value)
 
     def _begin_trial(self) -> None:
-        """Record a trial before its first send, so that no two nodes start one at the same time."""
+        """Record the trial of quarantined content first, so that no two nodes start one at once."""
         if self._job.on_trial and not self._trial_began:
             self._trial_began = True
             self._node.quarantine.begin_trial(self._job.request)
@@ -364,7 +364,7 @@
 
         A grant without a hold is kept: the planner counts it until the memory is reserved, and a
         new request to the planner replaces it. If its end were reported in between, the planner
-        would drop the run until the next report and grant the same memory and reader again.
+        would drop the run until the next report and grant the same memory and prefiller again.
         """
         if self._reservation.held:
             self._release()
