--- a/saffronworks/forwarding/plain_core.py
+++ b/saffronworks/forwarding/plain_core.py
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class _Choice:
-    """The input to the choice of the next endpoint; `permitted` has a permit."""
+    """The input to the choice of the next endpoint; a permit is held for `permitted`."""
 
     ranked: list[ServiceEndpoint]
     eligibility: Eligibility
@@ -190,7 +190,7 @@
 
 
 def _redirect(state: PlainState, choice: _Choice, now_ms: int, reason: str) -> Command:
-    """Send to another endpoint after one that did not execute the request."""
+    """Send the request to another endpoint, as the last one did not execute it."""
     state.redirects += 1
     if state.redirects > MOST_REDIRECTS:
         return _give_up(state, choice, reason)
