--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -50,7 +50,8 @@
 ORDER_TIMEOUT_MS = 13_000
 # Pause before an unanswered order is repeated to the same endpoint; orders are idempotent.
 ORDER_RETRY_MS = 2500
-# A duty whose object did not change for this long may be taken: all orders of its holder are over.
+# A duty whose object did not change for this long may be taken: by then all orders of its holder
+# have been carried out or have expired.
 DUTY_EXPIRY_MS = 13_000
 # An order is sent at most this long after the duty was confirmed.
 CONFIRMATION_VALID_MS = 300
@@ -193,7 +194,7 @@
 
 
 def _reset_duty(state: RoleState, now_ms: int) -> None:
-    """Reset the duty: its holder may take it again at once, others after its orders are over."""
+    """Forget the duty's revision; other nodes than the holder wait until its orders expire."""
     state.duty_revision, state.duty_changed_ms = None, now_ms
     if not state.is_holder:
         state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_EXPIRY_MS)
@@ -235,7 +236,7 @@
 def _find_imbalance(
     state: RoleState, endpoints: list[ServiceEndpoint], group_delay_ms: int, now_ms: int
 ) -> ServiceEndpoint | None:
-    """Return the endpoint that should change its role, once the imbalance has lasted."""
+    """Return the endpoint that should change its role, once the imbalance lasts long enough."""
     chosen = _choose(state, endpoints)
     if chosen is None:
         state.unbalanced_since_ms = None
