--- a/saffronworks/forwarding/role_keeper.py
+++ b/saffronworks/forwarding/role_keeper.py
@@ -144,8 +144,8 @@
 ) -> role_core.Event:
     """Return the event for the store's reply to a write of the duty.
 
-    Another node may have held the duty, unless this node confirmed it within one epoch of the store
-    or created it for the first time.
+    Another node may have held the duty before, unless this node confirmed its own within one epoch
+    of the store, or created the duty for the first time.
     """
     match reply:
         case Ok(written):
