--- a/saffronworks/forwarding/node_order.py
+++ b/saffronworks/forwarding/node_order.py
@@ -1,4 +1,4 @@
-"""Order in which nodes act where few are enough: all nodes compute the same without messages."""
+"""Order in which nodes act where a few are enough; each node computes the same without messages."""
 
 from collections.abc import Collection
 
