--- a/saffronworks/forwarding/reservations.py
+++ b/saffronworks/forwarding/reservations.py
@@ -49,7 +49,7 @@
 
 @attrs.define
 class Reservation:
-    """Holds at most one reservation at a time.
+    """The reservations of one generation, at most one at a time.
 
     `known_to_planner`: the planner may count the request as waiting or running.
     """
@@ -144,7 +144,7 @@
         calls, endpoint, now_ms = self.node.calls, command.endpoint, self.node.now_ms
         request = self.job.request
         headroom: KvHold | None = None
-        # The check costs two calls, which rate-limited endpoints are spared.
+        # The check takes two more calls, so it is skipped at rate-limited endpoints.
         if command.headroom_tokens and not limited:
             free = await calls.take_hold(
                 endpoint, request, command.headroom_tokens, HEADROOM_MS, now_ms()
