--- a/saffronworks/forwarding/routing.py
+++ b/saffronworks/forwarding/routing.py
@@ -39,7 +39,7 @@
     target_ms: int
     max_attempts: int
     gap_target_ms: int = 300
-    # Callers need no key.
+    # Callers need no API key.
     public: bool = False
     # 0 is the most urgent; it orders requests of organisations that have the same priority.
     priority: int = DEFAULT_PRIORITY
