--- a/saffronworks/forwarding/loads.py
+++ b/saffronworks/forwarding/loads.py
@@ -42,7 +42,7 @@
         self.circuit.fail("connect" if unreachable else "failed", now_ms)
 
     def cost(self, other_zone: bool, now_ms: int) -> float:
-        """Return the expected latency of one more request, in weighted milliseconds."""
+        """Return the expected latency of one more request in ms, weighted by failures and zone."""
         self._decay(now_ms)
         expected_ms = self.latency_ms * (1 + self.outstanding)
         return (
