--- a/saffronworks/forwarding/pools.py
+++ b/saffronworks/forwarding/pools.py
@@ -36,7 +36,7 @@
 ) -> list[ServiceEndpoint]:
     """Sort by reserved memory, least first, as seen by this node; prefer its own zone.
 
-    Memory in another zone counts as if half of `tokens` were reserved in addition.
+    An endpoint in another zone counts as if half of `tokens` were reserved there in addition.
     """
 
     def rank(endpoint: ServiceEndpoint) -> tuple[bool, int, StartId]:
@@ -54,7 +54,7 @@
 def _rank_prefillers(
     usable: list[ServiceEndpoint], loads: LoadTable, now_ms: int
 ) -> list[ServiceEndpoint]:
-    """Sort by load, without endpoints whose KV handle could not be fetched a moment ago."""
+    """Sort by load, without endpoints whose KV handle recently could not be fetched."""
     trusted = [
         endpoint for endpoint in usable if loads.of(endpoint.instance).no_prefill_until_ms <= now_ms
     ]
