--- a/saffronworks/forwarding/forwarder.py
+++ b/saffronworks/forwarding/forwarder.py
@@ -17,10 +17,10 @@
 
 logger = logging.getLogger(__name__)
 
-# Time that a runner has to answer at the deadline before the forwarder ends the request.
+# Time that a runner has to answer after the deadline, before the forwarder ends the request.
 DEADLINE_SLACK_MS = 150
-# Retry-After of a node that has no configuration yet: the store answers in 4 ms, and a start takes
-# a second.
+# Retry-After sent by a node that has just started and has no configuration yet: the store answers
+# in 4 ms, and a start takes a second.
 NO_TABLE_RETRY_MS = 500
 # A node that has no configuration after this time is waiting for an unavailable store.
 STORE_SLOW_MS = 1000
