--- a/saffronworks/forwarding/messages.py
+++ b/saffronworks/forwarding/messages.py
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class AnswerHead:
-    """Status and headers of an endpoint's answer. `signed`: the endpoint's stamp confirms it.
+    """Status and headers of an endpoint's answer. `signed`: it carries the endpoint's signature.
 
     `misdirected`: the endpoint at this address is not the intended one, or has another role;
     `found_name` is the name of another endpoint that has the address. `asks_pause`: the endpoint
