--- a/saffronworks/forwarding/runners.py
+++ b/saffronworks/forwarding/runners.py
@@ -92,8 +92,8 @@
         """Count and log a call of the given kind that got no complete answer.
 
         If the endpoint may have processed the request, the content hash is logged and reported to
-        the quarantine: it alone links retries of one content under different ids. A call for a hold
-        carries no content.
+        the quarantine: only the hash links retries of one content that have different ids. A hold
+        request carries no content.
         """
         worked_on = broken.sent and kind != HOLD
         self.figures.count_send(kind, broken.cause.value)
