--- a/saffronworks/forwarding/node_choice.py
+++ b/saffronworks/forwarding/node_choice.py
@@ -37,9 +37,10 @@
     """Ranks the strong nodes by hash and avoids those that did not answer.
 
     `cores` has the number of processor cores of each node, by address. The first two nodes receive
-    the reports of all nodes, whichever is chosen: so the second knows all runs when the first stops
-    answering, and the first when it is back. Until `starting_until_ms` this node counts as just
-    started. Others may have started with it, so one that does not answer is avoided only briefly.
+    the reports of all nodes, whichever is chosen, so that the second has all runs when the first
+    stops answering, and the first when it answers again. Until `starting_until_ms` this node counts
+    as just started; other nodes may have started with it, so those that do not answer are avoided
+    only briefly.
     """
 
     cores: dict[str, float] = attrs.field(factory=dict, on_setattr=_clear_ranks)
