--- a/saffronworks/forwarding/planning/order.py
+++ b/saffronworks/forwarding/planning/order.py
@@ -42,8 +42,8 @@
     def deadline_ms(self, now_ms: int) -> int:
         """Return the deadline of the target, or the patience deadline once that has passed.
 
-        A retry after a rejection gets no later deadline than a first attempt: queued behind all
-        first attempts, most retries would be late again.
+        A retry after a rejection gets no later deadline than a first attempt, since most retries
+        that are queued behind all first attempts would be late again.
         """
         return self.patience_deadline_ms if self.is_late(now_ms) else self.target_deadline_ms
 
