--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -47,7 +47,7 @@
 # Assumed prefill time per prompt token until prefillers have been observed; engines vary from 0.018
 # to 0.030 ms.
 PREFILL_MS_PER_TOKEN = 0.02
-# Weight of that assumption in prompt tokens, about four prompts.
+# Weight of PREFILL_MS_PER_TOKEN against samples, in prompt tokens: about four prompts.
 PREFILL_PRIOR_TOKENS = 15_000
 # Time for a grant to reach the prefiller, and for the end of the prefill to reach the planner. A
 # prompt that was granted less than this before the previous one finished may have reached an idle
