--- a/saffronworks/forwarding/planning/fair_shares.py
+++ b/saffronworks/forwarding/planning/fair_shares.py
@@ -139,7 +139,7 @@
     ) -> ShareSummary | None:
         """Return a summary of claimants: None until it is due, empty with a single organisation.
 
-        `last` requests it at once, since nothing runs or waits any more.
+        With `last` it is returned before it is due, as nothing runs or waits any more.
         """
         if not last and not self.counts.due(now_ms):
             return None
