--- a/saffronworks/forwarding/planning/prefill_queues.py
+++ b/saffronworks/forwarding/planning/prefill_queues.py
@@ -123,7 +123,8 @@
     def finish(self, request_id: str, prefiller: StartId, pace: PrefillPace, now_ms: int) -> None:
         """Remove a finished prompt.
 
-        The time since the previous one is a sample of the pace, if the prompt was queued by then.
+        The time since the previous one finished is a sample of the pace if this prompt was already
+        queued then.
         """
         first = next(iter(self._prompts), None)
         prompt = self._prompts.pop(request_id, None)
