--- a/saffronworks/forwarding/planning/request_rates.py
+++ b/saffronworks/forwarding/planning/request_rates.py
@@ -33,7 +33,7 @@
 
 @attrs.define
 class RequestRates:
-    """The requests of each priority with recent requests, counted in windows."""
+    """The request rates of all priorities with recent requests, counted in windows."""
 
     _rates: dict[int, _Rate] = attrs.Factory(dict)
     _window_ends_ms: int = 0
