--- a/saffronworks/forwarding/planning/speeds.py
+++ b/saffronworks/forwarding/planning/speeds.py
@@ -67,7 +67,7 @@
 
 @attrs.define
 class EndpointSpeeds:
-    """The time per token of each start of an endpoint, relative to the service's average.
+    """The time per token of each endpoint, by its start, relative to the service's average.
 
     An engine is slower the more runs it has. Without a correction, an endpoint would look slow
     because it has more runs than others. The effect of load is estimated from how the samples of
