--- a/saffronworks/forwarding/planning/messages.py
+++ b/saffronworks/forwarding/planning/messages.py
@@ -30,8 +30,9 @@
 
     A grant after `in_time_ms` misses the target, and after `patience_ms` the entry node gives up.
     `avoid` names endpoints that had no room for the request or failed it, `broken` those that
-    failed it. `priority` is the combined rank, lower first. `organisation` is empty and `target_ms`
-    0 if unknown, as from a node of the previous release.
+    failed it. `returned` marks a retry of a refused caller, or of an answer that has started.
+    `priority` is the combined rank, lower first. `organisation` is empty and `target_ms` 0 if
+    unknown, as from a node of the previous release.
     """
 
     request_id: str
