--- a/saffronworks/forwarding/role_core.py
+++ b/saffronworks/forwarding/role_core.py
@@ -194,7 +194,7 @@
 
 
 def _reset_duty(state: RoleState, now_ms: int) -> None:
-    """Forget the duty's revision; other nodes than the holder wait until its orders expire."""
+    """Forget the duty's revision; nodes other than the holder wait until its orders expire."""
     state.duty_revision, state.duty_changed_ms = None, now_ms
     if not state.is_holder:
         state.may_order_from_ms = max(state.may_order_from_ms, now_ms + DUTY_EXPIRY_MS)
