--- a/saffronworks/forwarding/generation_core.py
+++ b/saffronworks/forwarding/generation_core.py
@@ -77,7 +77,7 @@
     failure: AnswerHead | None = None
 
 
-# The outcome of a step, before it is mapped to a command by what the caller has received.
+# The outcome of a step, before it is mapped to a command depending on what the caller has received.
 _Result = AttemptCommand | _StreamReady | _GiveUp
 
 
