--- a/saffronworks/forwarding/planning/tuning.py
+++ b/saffronworks/forwarding/planning/tuning.py
@@ -87,7 +87,7 @@
 # answers left half of the memory idle; with less than this, first attempts lose turns to retries in
 # a lasting overload. A fixed share of 0.15 of the memory instead left room for ten short answers.
 MARGIN_ANSWERS = 1.25
-# Weight of a new request in the mean length: lengths differ by several times.
+# Weight of a new request in the mean length; it is low, as lengths differ by several times.
 LENGTH_SAMPLE_WEIGHT = 0.05
 # Upper limit of the margin by MARGIN_ANSWERS, as a share of the memory.
 MAX_MARGIN_SHARE = 0.4
@@ -133,7 +133,8 @@
 FULL_ENDPOINT_MS = 200
 # Share of the grants that retries are spread to take.
 RETRY_SHARE = 0.6
-# Interval at which entry nodes report their runs, and the time after which unreported ones expire.
+# Interval at which entry nodes report their runs, and the time after which the runs of a node that
+# no longer reports expire.
 REPORT_EVERY_MS = 400
 REPORT_LAPSE_MS = 1500
 # A new planner has received all reports after this time.
