--- a/saffronworks/forwarding/planning/priorities.py
+++ b/saffronworks/forwarding/planning/priorities.py
@@ -23,5 +23,5 @@
     return min(max(priority, 0), MAX_PRIORITY)
 
 
-# Assumed for requests and runs of nodes that send no rank.
+# Rank assumed for requests and runs of nodes that send none.
 DEFAULT_RANK = combine_priorities(None, DEFAULT_PRIORITY)
