--- a/saffronworks/forwarding/node_choice.py
+++ b/saffronworks/forwarding/node_choice.py
@@ -34,7 +34,7 @@
 
 @attrs.define
 class NodeChoice:
-    """Ranks the strong nodes by hash and avoids those that did not answer.
+    """Ranks the nodes of `strong_nodes` by hash and avoids those that did not answer.
 
     `cores` has the number of processor cores of each node, by address. The first two nodes receive
     the reports of all nodes, whichever is chosen, so that the second has all runs when the first
