--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -64,12 +64,12 @@
     ran: list = attrs.Factory(list)
     now_ms: int = 1_000_000
 
-    def feed(self, home, event):
-        for command in claims.step(self.homes[home], event, self.now_ms):
+    def feed(self, owner, event):
+        for command in claims.step(self.homes[owner], event, self.now_ms):
             if isinstance(command, claims.Answer):
                 self.answers.append(command)
             else:
-                self.calls.append((home, command))
+                self.calls.append((owner, command))
 
     def settle_calls(self):
         """Answer all store calls; owners with conflicting writes must finish in `MOST_CALLS`."""
@@ -82,23 +82,23 @@
 
     def act(self, action, number):
         key, request_id = f"k{number % 2}", f"r{number % 4}"
-        home = number // 4 % 2
+        owner = number // 4 % 2
         self.now_ms += 40
         match action:
             case "ask" if request_id not in self.decided:
-                self.feed(home, claims.ClaimRequested(key, request_id, "n"))
+                self.feed(owner, claims.ClaimRequested(key, request_id, "n"))
             case "store" if self.calls:
                 caller, command = self.calls.pop(number % len(self.calls))
                 self.feed(caller, self.store.act(command))
             case "answer" if self.answers:
-                self.hear(self.answers.pop(number % len(self.answers)), home)
+                self.hear(self.answers.pop(number % len(self.answers)), owner)
             case "wait":
                 self.now_ms += 400
-                self.feed(home, claims.Tick())
+                self.feed(owner, claims.Tick())
             case "late" if self.store.late:
                 self.store.apply(self.store.late.pop(0))
 
-    def hear(self, answer, home):
+    def hear(self, answer, owner):
         """Act as the entry node: the first answer counts, and is settled if nothing ran."""
         if answer.request_id in self.decided:
             return
@@ -106,7 +106,7 @@
         if isinstance(answer.result, claims.Claimed) and answer.request_id not in self.refused:
             self.ran.append((answer.key, answer.request_id))
         elif not isinstance(answer.result, claims.Denied):
-            self.feed(home, claims.Settled(answer.key, answer.request_id))
+            self.feed(owner, claims.Settled(answer.key, answer.request_id))
 
 
 FAULTS = st.lists(st.sampled_from(("none", "none", "lose", "drop", "down", "late")), max_size=20)
