--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -181,7 +181,7 @@
 
 
 @given("a shard with two owners")
-def two_homes(context):
+def two_owners(context):
     context.world = ClaimWorld(FaultyStore([]), set())
 
 
