--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -91,14 +91,14 @@
                 caller, command = self.calls.pop(number % len(self.calls))
                 self.feed(caller, self.store.act(command))
             case "answer" if self.answers:
-                self.hear(self.answers.pop(number % len(self.answers)), owner)
+                self.receive_answer(self.answers.pop(number % len(self.answers)), owner)
             case "wait":
                 self.now_ms += 400
                 self.feed(owner, claims.Tick())
             case "late" if self.store.late:
                 self.store.apply(self.store.late.pop(0))
 
-    def hear(self, answer, owner):
+    def receive_answer(self, answer, owner):
         """Act as the entry node: the first answer counts, and is settled if nothing ran."""
         if answer.request_id in self.decided:
             return
