--- a/saffronworks/tests/features/steps/peers_steps.py
+++ b/saffronworks/tests/features/steps/peers_steps.py
@@ -28,7 +28,7 @@
         async for message in mailbox:
             self.heard.append(message.request_id)
 
-    def tell(self, other, text):
+    def send(self, other, text):
         self.kernel.post("peers", Outgoing(other.service.address, MemoryQueued(text)))
 
 
@@ -49,13 +49,13 @@
         async with anyio.create_task_group() as tasks:
             for peer in (one, other, third):
                 peer.kernel.start(tasks)
-            one.tell(other, "first")
+            one.send(other, "first")
             await arrives(other, "first")
             one.now_ms += IDLE_MS
-            one.tell(third, "second")
+            one.send(third, "second")
             await arrives(third, "second")
             context.open = set(one.service._links) - {third.service.address}
-            one.tell(other, "later")
+            one.send(other, "later")
             await arrives(other, "later")
             context.heard = other.heard
             tasks.cancel_scope.cancel()
