--- a/saffronworks/tests/features/steps/peers_steps.py
+++ b/saffronworks/tests/features/steps/peers_steps.py
@@ -40,7 +40,7 @@
 
 @given("a node that last sent a message to a peer a minute ago")
 @when("it sends a message to another peer")
-def tell_both(context):
+def send_to_both(context):
     if "open" in context:
         return
 
