--- a/saffronworks/tests/features/steps/fleet_steps.py
+++ b/saffronworks/tests/features/steps/fleet_steps.py
@@ -121,7 +121,7 @@
 
 
 @then("once it responds again all consider it alive")
-def speaks(context):
+def responds_again(context):
     context.fleet.cut = set()
     context.fleet.run(20_000)
     assert all_alive(context.fleet), views(context.fleet)
