--- a/saffronworks/tests/features/steps/claims_steps.py
+++ b/saffronworks/tests/features/steps/claims_steps.py
@@ -57,7 +57,7 @@
 
     store: FaultyStore
     refused: set
-    homes: list = attrs.Factory(lambda: [ClaimShard(), ClaimShard()])
+    owners: list = attrs.Factory(lambda: [ClaimShard(), ClaimShard()])
     calls: list = attrs.Factory(list)
     answers: list = attrs.Factory(list)
     decided: dict = attrs.Factory(dict)
@@ -65,7 +65,7 @@
     now_ms: int = 1_000_000
 
     def feed(self, owner, event):
-        for command in claims.step(self.homes[owner], event, self.now_ms):
+        for command in claims.step(self.owners[owner], event, self.now_ms):
             if isinstance(command, claims.Answer):
                 self.answers.append(command)
             else:
