--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -15,8 +15,8 @@
 
 __all__ = [
     "Answer",
-    "ClaimRequested",
     "ClaimRecord",
+    "ClaimRequested",
     "ClaimShard",
     "Claimed",
     "Command",
@@ -30,9 +30,9 @@
     "Unavailable",
     "Unrecorded",
     "Write",
+    "WriteConflict",
     "WriteDone",
     "WriteLost",
-    "WriteConflict",
     "claim_key",
     "read_records",
     "shard_of",
