--- a/saffronworks/owner/roles.py
+++ b/saffronworks/owner/roles.py
@@ -23,7 +23,7 @@
 DRAIN_LIMIT_MS = 20_000
 ORDER_LIMIT_MS = 10_000
 RETRY_INTERVAL_MS = 1000
-# Reports lag: one that was sent before a role change must not undo the change.
+# A load report may be older than a role change and must not undo it.
 REPORT_SETTLE_MS = 3000
 # Assumed upper bound of a process pause between the check of the fence and the order.
 MAX_PROCESS_PAUSE_MS = 2000
@@ -142,8 +142,8 @@
 def _may_order(state: CellState, ledger: EndpointLedger, now_ms: int) -> bool:
     """Returns True when no earlier owner can still order the endpoint.
 
-    An endpoint that checks fences rejects an earlier owner itself. At any other, this owner
-    waits until an earlier owner's lease and longest pause have passed.
+    An endpoint that checks fences rejects an earlier owner itself. For any other, this owner
+    waits after taking its fence for the length of a lease plus the longest process pause.
     """
     if ledger.endpoint.checks_fence:
         return True
@@ -195,7 +195,7 @@
 def apply_reported_role(
     state: CellState, ledger: EndpointLedger, report: LoadReport, now_ms: int
 ) -> None:
-    """Applies the reported role of an endpoint, which overrides the ledger in such pools."""
+    """In pools that change roles, the reported role of an endpoint overrides the ledger's."""
     if not state.cell.pool.change_roles or report.role not in tuple(Role):
         return
     role = Role(report.role)
