--- a/saffronworks/owner/policies.py
+++ b/saffronworks/owner/policies.py
@@ -12,7 +12,8 @@
     `wait_share`: the share of the lifetime of a KV result that it may be planned to wait for a
     decode slot, at goodput weight 0; at weight 1, `wait_share_weight` is added.
     `spare_slots`: the decode slots that must be predicted free beyond the one needed.
-    `late_every_grants`: each such number of grants, one may go to a late request.
+    `late_every_grants`: after this many grants without a late request, one may go to a late
+    request.
     `slack_margin_share`: a request is late when less than this share of its target is left.
     `fair_factor`: an organisation with more than this multiple of the mean service ranks behind
     the others.
