--- a/saffronworks/owner/leases.py
+++ b/saffronworks/owner/leases.py
@@ -38,7 +38,7 @@
     leases: dict[str, Lease] = attrs.Factory(dict)
 
     def renew(self, node: str, incarnation: int, now_ms: int) -> bool:
-        """Renews a lease; returns True when the node restarted, and so lost what it held.
+        """Renews a lease; returns True when the node restarted and lost its attempts.
 
         A lower incarnation than the recorded one is a late message and renews nothing.
         """
