--- a/saffronworks/owner/ledgers.py
+++ b/saffronworks/owner/ledgers.py
@@ -110,7 +110,11 @@
         return not self.leaving and not self.changing and self.circuit.admits(now_ms)
 
     def slots(self, now_ms: int) -> float:
-        """Returns the slots that this owner may use: fewer in slow start, none if not `open`."""
+        """Returns the slots that this owner may use, 0 if the endpoint is not open.
+
+        Slow start and a half-open circuit reduce them, and foreign decodes and unacknowledged
+        cancels are subtracted, so the result may be negative.
+        """
         if not self.open(now_ms):
             return 0.0
         own = 1.0
