--- a/saffronworks/owner/assignments.py
+++ b/saffronworks/owner/assignments.py
@@ -31,8 +31,9 @@
 def handle_prefilled(state: CellState, event: Prefilled, now_ms: int) -> list[Command]:
     """Records that a KV result waits for a decode slot.
 
-    With `refused_by`, the assigned endpoint refused it, and another one is needed. A repeat
-    without a refusal gets the same assignment again, since the first may be lost.
+    For an attempt that is already assigned, `refused_by` decides: if it is the assigned endpoint,
+    the KV result needs another one; otherwise the assignment is sent again, since the first
+    message may be lost.
     """
     held = state.held.get(event.key.request_id)
     if held is None or held.key != event.key:
