--- a/saffronworks/owner/admissions.py
+++ b/saffronworks/owner/admissions.py
@@ -35,7 +35,7 @@
 def handle_ask(state: CellState, ask: Ask, now_ms: int) -> list[Command]:
     """Queues an attempt, or refuses it at once.
 
-    A repeated ask of a granted attempt gets its grant again, since the first may be lost.
+    A repeated `Ask` of a granted attempt gets its grant again, since the first message may be lost.
     """
     request_id = ask.key.request_id
     if ask.key.attempt <= state.ended.get(request_id, (0, 0))[0]:
@@ -119,7 +119,7 @@
 
 
 def _admit(state: CellState, item: Waiting, now_ms: int) -> PrefillChoice | None:
-    """Chooses a prefill endpoint, or None unless a decode slot is predicted to be free.
+    """Returns a prefill endpoint, or None if none or no decode slot is predicted to be free.
 
     The slot may become free after the transfer, while the KV result waits. A higher goodput
     weight of the model allows a longer wait, at the risk of a wasted prefill.
