--- a/saffronworks/owner/owners.py
+++ b/saffronworks/owner/owners.py
@@ -190,7 +190,7 @@
     async def _order_role(
         self, kernel: Kernel, name: str, address: str, command: cell_events.OrderRole
     ) -> None:
-        """Sends a role order; after an unclear answer posts no event, so that it is sent again."""
+        """Sends a role order; posts no event after an unclear answer, so the order is repeated."""
         if command.recheck and not await self._fences.is_current(name, command.fence):
             kernel.post(
                 self.name, _EndpointEvent(name, cell_events.RoleOrdered(command.endpoint, False))
