--- a/saffronworks/platform/answer_fields.py
+++ b/saffronworks/platform/answer_fields.py
@@ -48,7 +48,8 @@
 _Values = dict[str, list[str]]
 _HTTP_DATE = "%a, %d %b %Y %H:%M:%S GMT"
 
-# All header fields that servers set in answers, and what reads each. Other fields are logged.
+# All header fields that servers set in answers, with the module or function that reads each and
+# its meaning. Other fields are logged.
 ANSWER_FIELDS = {
     ID_FIELD.lower(): "connections: the request that is answered",
     SIGNATURE_FIELD: "calls: whether the answer is signed by the server",
@@ -99,15 +100,15 @@
 
 
 def read_limit(raw: ResponseHead, sent_ms: int) -> AdvertisedLimit:
-    """Return the rate limit in an answer to a request sent at `sent_ms`; of several the lowest."""
+    """Return the rate limit in an answer to a request sent at `sent_ms`, the lowest of several."""
     return _read_limit(_advertised_values(raw), raw, sent_ms)
 
 
 def _read_limit(
     values: _Values, raw: ResponseHead, sent_ms: int, is_request: bool = True
 ) -> AdvertisedLimit:
-    # An answer without the limit header ends the limit only if the request ran: not on a failure,
-    # nor without a request id, as the answer may then come from another party.
+    # An answer without the limit header ends the limit only if the request ran. A 5xx status or a
+    # missing request id doesn't show this: the answer may come from another party.
     conclusive = raw.status < 500 and raw.get(ID_FIELD) is not None
     ran = is_request and conclusive and not is_not_executed(raw)
     if _LIMIT_FIELD not in values:
