--- a/saffronworks/platform/calls.py
+++ b/saffronworks/platform/calls.py
@@ -110,7 +110,7 @@
 
     @property
     def framed(self) -> bool:
-        """Whether the answer has a length or chunks; else it ends when the connection closes."""
+        """False if only the end of the connection ends the answer: no length, no chunks."""
         return self.connection.framed
 
     async def head(self, timeout_ms: float) -> AnswerHead:
@@ -283,7 +283,8 @@
     ) -> tuple[int, bytes]:
         """Send one of the node's own calls; returns status and body, raises ExchangeError.
 
-        Calls without a `request` release reservations and KV caches, or order a role.
+        `request` is the caller's request that the call belongs to. It is None for calls that
+        release reservations and KV caches or order a role.
         """
         content = b"" if body is None else msgspec.json.encode(body)
         lines = [
