--- a/saffronworks/platform/configuration.py
+++ b/saffronworks/platform/configuration.py
@@ -52,7 +52,7 @@
     traffic_split: list[_Split] = attrs.Factory(list)
     resumable: bool = False
     gap_target_ms: float = 300
-    # Whether the route is served without an API key.
+    # A public route is served without an API key.
     public: bool = False
     priority: int = DEFAULT_PRIORITY
 
