--- a/saffronworks/platform/ingress.py
+++ b/saffronworks/platform/ingress.py
@@ -19,9 +19,9 @@
 
 logger = logging.getLogger(__name__)
 
-# Deadline of a request that names none.
+# Time from arrival to the deadline of a request that states no deadline.
 DEFAULT_DEADLINE_MS = 30_000
-# Each header field also has a colon, a space and a line end.
+# Bytes of a header field besides its name and value: colon, space, CR and LF.
 FIELD_OVERHEAD_BYTES = 4
 _CONNECTION_FIELDS = frozenset(
     [
@@ -133,12 +133,12 @@
 
     @property
     def started(self) -> bool:
-        """Whether status and headers have been sent."""
+        """True once status and headers have been sent."""
         return self._call.started
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer has been sent."""
+        """True once the end of the answer has been sent or is being sent."""
         return self._finished
 
     async def start(self, head: AnswerHead) -> AnswerBody:
