--- a/saffronworks/platform/server_entries.py
+++ b/saffronworks/platform/server_entries.py
@@ -10,7 +10,8 @@
 
 __all__ = ["ServerEntry", "read_entry"]
 
-# An entry has about 300 bytes, and a few hundred more if its model has adapters.
+# Larger entries are invalid. An entry has about 300 bytes, and a few hundred more if its model has
+# adapters.
 MAX_ENTRY_BYTES = 65_536
 # How far a server's start time may be ahead of this VM's clock, as clocks differ by seconds.
 MAX_START_AHEAD_MS = 60_000
@@ -29,7 +30,7 @@
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1, lt=2**31)]
     state: Literal["ready", "draining"]
-    # How much longer the server is slow after its start.
+    # Time for which the server is still slow after its start.
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
     # Number of writes to this entry by the server.
     sequence: _Count
