--- a/saffronworks/platform/settings.py
+++ b/saffronworks/platform/settings.py
@@ -15,10 +15,10 @@
 SETTINGS_VARIABLE = "SAFFRONWORKS_NODE_FILE"
 # Lower bound of a watch's wait, whatever the settings: shorter watches amount to polling.
 MIN_WATCH_WAIT_MS = 500
-# Window in which quotas are checked, if the settings name none.
+# Window in which quotas are checked, unless the settings have another.
 DEFAULT_QUOTA_WINDOW_S = 8.0
 BYTES_PER_MB = 1_000_000
-# The contract that allows callers and endpoints to read slowly.
+# Value in the setting `contracts` by which callers and endpoints may read slowly.
 SLOW_READERS_CONTRACT = "pressure"
 
 
@@ -114,8 +114,8 @@
     """Return the time after an outage of the store within which a node must be up to date.
 
     A change made `contact_ms` after the end of the outage has to be applied within the shorter of
-    the bounds on configuration and on draining servers. A watch that was lost at the end of the
-    outage times out earlier.
+    the bounds on configuration and on draining servers. Watches wait less than this, so one that
+    was lost at the end of the outage times out earlier.
     """
     return bounds.integer("contact_ms", 3000, least=1) + _follow_within_ms(bounds)
 
