--- a/saffronworks/platform/store.py
+++ b/saffronworks/platform/store.py
@@ -26,7 +26,7 @@
 
 T = TypeVar("T")
 
-# Answers usually take 4 ms; one that takes longer than this is considered lost.
+# Answers usually take 4 ms; one that exceeds this timeout is considered lost.
 ANSWER_TIMEOUT_S = 0.8
 CONNECT_TIMEOUT_S = 0.6
 # A watch waits for seconds, and a cut network path closes no connection: keepalive probes detect
@@ -159,14 +159,14 @@
     async def create(
         self, kind: str, name: str, content: bytes
     ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
-        """Write a new object; a Conflict if one of this name exists."""
+        """Write a new object; returns a Conflict if one of this name exists."""
         body = _encode(name, content, None)
         return _read_written(await self._call("POST", _path(kind), content=body))
 
     async def replace(
         self, kind: str, name: str, content: bytes, revision: StoreRevision
     ) -> Result[StoredObject, Conflict | ObjectStoreFailure]:
-        """Write an object if it is still at this revision; else a Conflict."""
+        """Write an object if it is still at this revision; otherwise returns a Conflict."""
         body = _encode(name, content, revision.number)
         return _read_written(await self._call("PUT", _path(kind, name), content=body))
 
