--- a/saffronworks/module_archive.py
+++ b/saffronworks/module_archive.py
@@ -85,7 +85,7 @@
         )
 
     def read_code(self, name: str) -> CodeType | None:
-        """Return the code object of an archived module, None if it has none here."""
+        """Return the code object of a module, or None if the archive has none."""
         entry = self._entries.get(name)
         if entry is None or not entry[5]:
             return None
@@ -136,7 +136,7 @@
 
 
 def _install_compile(generated: _Generated) -> None:
-    """Make attrs take compiled code from `generated`, and add to it what it has to compile.
+    """Make attrs take compiled code from `generated`, and add the code that is missing there.
 
     attrs calls the builtin `compile`; a global of this name in its module shadows the builtin.
     """
@@ -194,9 +194,9 @@
 
 
 def _locate(file: str, root: str) -> tuple[bool, str] | None:
-    """Return whether a file is below the root, and its path relative to its base directory.
+    """Return whether a file's base directory is the root, and its path relative to the base.
 
-    The base is the root or the standard library; None for files elsewhere.
+    The base is the root or the standard library. For files elsewhere the result is None.
     """
     for is_in_root, base in ((True, root), (False, _STANDARD_LIBRARY)):
         if file.startswith(base + os.sep):
