--- a/deploy/start.py
+++ b/deploy/start.py
@@ -14,7 +14,7 @@
 
 def main() -> None:
     """Write the archive, or run a node."""
-    # The first entry is the folder of this script.
+    # Python puts the directory of this script first; the package is in the parent directory.
     sys.path[0] = ROOT
     # Imported objects are never freed; the node enables garbage collection after its imports.
     gc.disable()
