--- a/deploy/day_files.py
+++ b/deploy/day_files.py
@@ -1,6 +1,6 @@
-"""Writes `deploy/days/`: days for the users' bench, each a schedule of faults and planned events.
+"""Writes the files of `deploy/days/`, which the users' test bench runs.
 
-There are four kinds of days, for any site of the bench:
+A day is a schedule of faults and planned events. There are four kinds, for any site of the bench:
 - one for each event: the event at the peak of a burst, then again while another event overlaps;
 - mixed: two faults that break answers, three times each, and other events at random times;
 - organisations: two organisations send far more than their quotas while keys and quotas change
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class DayEvent:
-    """One entry of a day; `fields` is TOML text, `planned` selects the table `plan` or `faults`."""
+    """One entry of a day, in its list `plan` if `planned`, else `faults`; `fields` is TOML text."""
 
     name: str
     kind: str
@@ -31,7 +31,7 @@
     planned: bool = False
 
     def entry(self, at_s: float) -> str:
-        """Return the TOML line of this event at a time in the day."""
+        """Return the TOML line of this event, `at_s` seconds after the start of the day."""
         fields = f", {self.fields}" if self.fields else ""
         return f'  {{ at = {at_s}, kind = "{self.kind}"{fields} }},'
 
@@ -189,7 +189,7 @@
 
 
 def format_simultaneous_day(name: str, events: tuple[DayEvent, ...], seed: int) -> str:
-    """Return a day with all of these events at once, three times."""
+    """Return a day with all `events` at once, three times."""
     entries = [(at_s, event) for at_s in (5.0, 15.0, 25.0) for event in events]
     return _format(name, seed, entries)
 
