--- a/saffronworks/platform/node.py
+++ b/saffronworks/platform/node.py
@@ -287,7 +287,7 @@
         return listed and self._forwarder.table is not None and not self._stopping.is_set()
 
     async def _drain(self) -> None:
-        """Accept callers until the platform sends no more, then stop; open requests go on."""
+        """Accept callers until the platform sends no more, then stop listening for new ones."""
         logger.info(
             "event=drain node=%s open_requests=%d",
             self.settings.node,
