--- a/saffronworks/platform/organisations.py
+++ b/saffronworks/platform/organisations.py
@@ -30,7 +30,7 @@
     unit: str = QuotaUnit.REQUESTS.value
     # Cost of a request without a prompt, where the unit is tokens.
     plain_tokens: int = 1
-    # In `unit` per second, over all nodes together.
+    # Quota in `unit` per second, over all nodes together.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
