--- a/saffronworks/platform/server_entries.py
+++ b/saffronworks/platform/server_entries.py
@@ -67,7 +67,7 @@
 
 
 def _check_fields(content: bytes) -> list[str]:
-    """Check each field alone, so that an entry's findings are complete."""
+    """Check each field by itself, since decoding the whole entry stops at the first error."""
     try:
         fields = msgspec.json.decode(content)
     except _DECODE_ERRORS as error:
