--- a/saffronworks/forwarding/followers.py
+++ b/saffronworks/forwarding/followers.py
@@ -43,8 +43,9 @@
     """Keeps a sink up to date, with jittered exponential backoff after failures.
 
     An outage is assumed to begin with the last answer, or when an open connection was cut. It may
-    end as early as the sending of the last failed call. The node must be up to date
-    `known_within_ms` after that, so the grace period of expired entries ends by then.
+    end as early as the last failure: when the failed call was sent, or when its connection was cut.
+    The node must be up to date `known_within_ms` after that, so the grace period of expired entries
+    ends `LAPSE_MARGIN_MS` earlier at the latest.
 
     A store restored from a copy reissues revisions: changes since a revision of an earlier epoch
     are incomplete, so the kind is listed again.
@@ -97,7 +98,7 @@
                 await self._list()
             else:
                 await self._watch(self._revision)
-            # After a single lost history a listing suffices, without a delay.
+            # After the first HistoryGone a listing follows without a delay; repeated ones back off.
             failures = max(self._failures, self._histories_gone - 1)
             if failures:
                 await anyio.sleep(self._backoff_ms(failures) / 1000)
@@ -119,7 +120,7 @@
         return self._now_ms() - self._up_to_date_ms
 
     def handle_news(self, news: StoreNews) -> None:
-        """Apply an update from a peer; a complete one also serves a node without a store answer."""
+        """Apply an update from a peer; a node without a revision can start from a whole listing."""
         if self._revision is None and news.whole and news.objects is not None:
             self._revision, self.listed = StoreRevision(0, 0), True
         if self._revision is None or news.at < self._revision:
@@ -243,7 +244,7 @@
         return self._revision is not None and answer.revision < self._revision
 
     def _handle_failure(self, failure: HistoryGone | ObjectStoreFailure) -> None:
-        """List next, because changes may be missing, unless an update from a peer comes first."""
+        """Require a listing, because changes may be missing; a peer's update can replace it."""
         self._needs_listing = True
         match failure:
             case HistoryGone():
