--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -49,7 +49,8 @@
 
 # --- Plain calls -------------------------------------------------------------------------------
 
-# A repeatable call without an answer after this share of its target is sent to another endpoint.
+# A repeatable call without an answer after this share of its latency target is sent to another
+# endpoint.
 HEDGE_SHARE = 0.8
 # Maximum sends to other endpoints after one that reports it did not run the request.
 MAX_REDIRECTS = 2
@@ -107,7 +108,8 @@
 
 # --- Streams -----------------------------------------------------------------------------------
 
-# A resumable stream that is silent for this many gap targets is resumed at another endpoint.
+# A resumable stream that is silent for this many times its target gap between events is resumed at
+# another endpoint.
 STALL_TIMEOUT_GAPS = 4
 # Minimum remaining time for an attempt to resume a stream.
 RESUME_MIN_LEFT_MS = 500
@@ -131,24 +133,25 @@
 
 # --- Following the store -----------------------------------------------------------------------
 
-# Longest wait of a watch, if the settings allow it; a lost watch must time out before the node has
-# to know of a change. Each call has a price: with waits of 2 s and a new watch after every change a
-# node makes 1.5 to 2.5 calls a second.
+# Longest wait of a watch, if the settings allow it; a lost watch must time out within the time
+# limit for applying a change. Each call has a price: with waits of 2 s and a new watch after every
+# change a node makes 1.5 to 2.5 calls a second.
 WATCH_WAIT_MAX_MS = 5000
-# Part of that time left for the answer (timeout 0.8 s), a new listing and a busy processor.
+# Part of that time limit left for the answer (timeout 0.8 s), a new listing and a busy processor.
 WATCH_MARGIN_MS = 1500
 # Delay after a change, so that the changes of a start or a release are read together.
 WATCH_COALESCE_MS = 250
 FOLLOW_BACKOFF_MIN_MS = 40
 FOLLOW_BACKOFF_MAX_MS = 600
 # Longest interval between calls to a failing store, and so the delay until a node notices its
-# recovery. A node that receives updates from peers waits longer, up to a third of the time within
-# which it must know of a change.
+# recovery. A node that receives updates from peers waits longer, up to a third of the time limit
+# for applying a change.
 PROBE_INTERVAL_MS = 600
 PEER_FED_PROBE_INTERVAL_MS = 1600
-# Entries that expired during an outage of the store are written again this long after its end.
+# Endpoints whose entries expired during an outage of the store write them again within this time
+# after its end; the expired entries stay usable at most until then.
 LAPSED_GRACE_MS = 2000
-# Margin for a request that is sent to such an endpoint at the last moment.
+# Margin for a request that is sent to an endpoint just before its expired entry becomes unusable.
 LAPSE_MARGIN_MS = 200
 # A shorter outage lets no entry expire, which takes three missed heartbeats of about 1.2 s.
 LAPSE_AFTER_MS = 2000
