--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -34,9 +34,10 @@
 CONSISTENT_LISTING_S = 0.7
 STALE_LISTING_DELAYS_S = (3.0, 4.0)
 REGISTER_RETRY_S = 1.0
-# After a restore of the store, each node lists again when all have registered again. Until then it
-# keeps the nodes whose entries the copy lacks.
+# After a restore of the store, each node registers again and lists the nodes this much later, when
+# the others have registered too.
 RESTORE_LISTING_DELAY_S = 4.0
+# Nodes whose entries the restored copy lacks are kept for this long after the restore is observed.
 KEEP_MISSING_MS = 15_000
 
 
@@ -58,10 +59,11 @@
 
 
 class Census:
-    """Registers this node, then lists all nodes periodically; passes changes to `take` by address.
+    """Registers this node and lists all nodes periodically; `take` receives them when they change.
 
     Entries of dead nodes remain. They only reduce each node's share of the retry slack, and a
-    planner that does not answer is skipped. A node registers again if a restore lost its entry.
+    planner that does not answer is skipped. After a restore of the store, which may
+    have lost its entry, a node registers again.
     """
 
     def __init__(
