--- a/saffronworks/forwarding/retry_budget.py
+++ b/saffronworks/forwarding/retry_budget.py
@@ -15,8 +15,9 @@
 class RetryBudget:
     """Limits retries to a ratio of this node's requests plus its share of the fleet's slack.
 
-    Nodes need no messages for this: `nodes` divides the slack, and must not be lower than their
-    true number. Requests and retries are counted per service over a sliding window.
+    Nodes exchange no messages about it: each uses an equal share of the slack. If `nodes` were
+    below their true number, all shares together would exceed the slack. Requests and retries are
+    counted per service over a sliding window.
     """
 
     ratio: float
