--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -71,7 +71,10 @@
         return Decision(paused, disconnected)
 
     def next_check_bytes(self, total_bytes: int) -> float:
-        """Return the total at which the next decision is due: when half of the rest is used."""
+        """Return the total at which the next decision is due.
+
+        This is the high watermark, or if `reached`, the total at which half of the rest is used.
+        """
         if not self.reached:
             return BUFFER_HIGH_WATERMARK * self._usable_bytes
         return total_bytes + max(0, self._usable_bytes - total_bytes) / 2
