--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -38,7 +38,7 @@
         self._read_bytes = 0
 
     def set_preread_bytes(self, preread_bytes: int) -> None:
-        """Record the bytes read from the exchange before the answer begins."""
+        """Record how many bytes were read from the exchange before the answer begins."""
         self._preread_bytes = preread_bytes
         self._update()
 
@@ -116,7 +116,7 @@
         return self._connection is None and not self.counted_bytes
 
     def update_unread(self, now_ms: int) -> None:
-        """Update since when the caller has read nothing."""
+        """Restart `unread_since_ms` if the caller has read more; clear it if no byte is left."""
         read_bytes = self._written_bytes - self.reply.unread_bytes
         if not self.buffered_bytes:
             self.unread_since_ms = None
