--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -70,7 +70,7 @@
         self.idle_since_ms = 0
         self.keep_alive_ms = float(KEEP_ALIVE_DEFAULT_MS)
         self.reusable = True
-        # Whether only the router's own control calls may follow, which carry no id either.
+        # If true, only the router's own control calls may follow; their requests carry no id.
         self.control_calls_only = False
         self.uses = 0
 
@@ -100,7 +100,7 @@
         self._changed.set()
 
     def eof_received(self) -> bool:
-        """Handle a close by the endpoint, which ends an answer without a length."""
+        """Handle a close by the endpoint, which completes an answer without a length."""
         self.reusable = False
         if self._head is not None and not self.framed and not self._discarding:
             self._complete = True
@@ -161,8 +161,8 @@
     def _restrict_reuse(self, status: int) -> None:
         """Restrict reuse after an answer without an id, or a failed control call.
 
-        A late duplicate of it would be taken for the answer to the next request, and could report
-        that it was not run.
+        A late duplicate of that answer would be taken for the answer to the next request, and could
+        report that this request was not run.
         """
         if self._awaited_id is not None:
             self.reusable = False
