--- a/saffronworks/forwarding/connection_pool.py
+++ b/saffronworks/forwarding/connection_pool.py
@@ -21,7 +21,7 @@
 
 
 class ConnectionPool:
-    """Connections by start of an endpoint, because another endpoint may reuse its address."""
+    """Pools connections by start of an endpoint, as another endpoint may reuse the address."""
 
     def __init__(self, id_field: str):
         self._id_field = id_field
@@ -104,7 +104,7 @@
         idle.append(connection)
 
     def close_except(self, instances: set[StartId]) -> None:
-        """Close idle connections to all other starts of endpoints."""
+        """Close idle connections except those to the given starts of endpoints."""
         for instance in [name for name in self._idle if name not in instances]:
             for connection in self._idle.pop(instance):
                 connection.close()
