--- a/saffronworks/forwarding/store_news.py
+++ b/saffronworks/forwarding/store_news.py
@@ -25,7 +25,7 @@
 # Nodes of smaller zones watch the store themselves: two publishers, which watch more often, would
 # make as many calls.
 MIN_SHARED_NODES = 9
-# Shares of the time within which nodes must know of a change: the longest wait of a publisher's
+# Shares of the time limit within which nodes must apply a change: the longest wait of a publisher's
 # watch, and the silence of publishers after which a node calls the store itself.
 WATCH_SHARE = 0.35
 SILENT_SHARE = 0.6
@@ -113,7 +113,7 @@
 
     @classmethod
     def within(cls, follow_within_ms: int) -> "NewsPace":
-        """Return the pace at which nodes know of a change in time even if publishers fail."""
+        """Return the pace that meets this time limit for a change even if publishers fail."""
         return cls(int(WATCH_SHARE * follow_within_ms), int(SILENT_SHARE * follow_within_ms))
 
 
@@ -173,9 +173,10 @@
     def publish(
         self, kind: str, answer: Listing, since: StoreRevision | None, lapse_ms: int, took_ms: int
     ) -> None:
-        """Send an answer of the store, received after `took_ms`, to the zone if a publisher.
+        """Send an answer of the store to the zone's other nodes if this node is a publisher.
 
-        `since` is None for a complete listing.
+        An answer that arrived too late (`took_ms` after the call) is not sent. `since` is None for
+        a complete listing.
         """
         publishing = self.is_publisher(kind) and self._kernel is not None
         if publishing is not self._publishing.get(kind, False):
