--- a/saffronworks/forwarding/store_revisions.py
+++ b/saffronworks/forwarding/store_revisions.py
@@ -9,7 +9,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Exceeds the writes of one epoch, and keeps fencing tokens exact as JSON numbers.
+# More than the writes of one epoch, yet small enough for tokens that are exact as JSON numbers.
 FENCES_PER_EPOCH = 2**32
 
 
