--- a/saffronworks/forwarding/removed_entries.py
+++ b/saffronworks/forwarding/removed_entries.py
@@ -24,7 +24,8 @@
 class RemovedEntries:
     """Removed entries by name.
 
-    An entry from a copy has the revision it had before; a new write gives it a later one.
+    An entry of a later epoch counts as brought back by a copy unless its revision number is above
+    the one that it had before its removal.
     """
 
     _removed: dict[str, _Removed] = attrs.Factory(dict)
