--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -12,11 +12,12 @@
 
 __all__ = ["Directory", "EntryUpdate", "ServiceEndpoint"]
 
-# How long an ended start is remembered, so that a stale listing or a rewound watch does not restore
-# it: the store's answers may be seconds old, and its history spans 20 s.
+# How long an ended start is remembered, so that a stale listing or a watch from an older revision
+# does not restore it: the store's answers may be seconds old, and its history spans 20 s.
 OBSOLETE_START_TTL_MS = 60_000
-# How long an entry that only a restored copy contains is withheld. By then its endpoint has written
-# it again (within 2 s), or the store has dropped it after three missed heartbeats.
+# How long an entry that only a restored copy contains is withheld. By then its endpoint, if
+# alive, has written it again (within 2 s), or the store has dropped it after three missed
+# heartbeats.
 WITHHOLD_RESTORED_MS = 6000
 
 
@@ -56,7 +57,7 @@
 
 @attrs.define
 class _EndedStarts:
-    """The ended starts of one name: all before `born_ms`, and any at `lost_address`."""
+    """The ended starts of a name: those before `born_ms`, and at `lost_address` all not later."""
 
     born_ms: int | None
     lost_address: str | None = None
@@ -169,7 +170,10 @@
         self._usable_until_ms.pop(endpoint.instance, None)
 
     def remove(self, name: str, now_ms: int, lapse_until_ms: int = 0) -> None:
-        """Remove an entry; until `lapse_until_ms` an outage of the store may be the cause."""
+        """Remove an entry, which stays usable until `lapse_until_ms` unless it is draining.
+
+        Until then an outage of the store may be the cause of its removal.
+        """
         ended_starts = self._ended_starts.get(name)
         if ended_starts is not None and ended_starts.expires_at_ms is None:
             ended_starts.expires_at_ms = now_ms + OBSOLETE_START_TTL_MS
