--- a/saffronworks/forwarding/figures.py
+++ b/saffronworks/forwarding/figures.py
@@ -18,8 +18,8 @@
 # Counters are always complete.
 MAX_SAMPLES = 4096
 
-# Combinations of service, priority and organisation with their own time series, four each: the
-# first ones reported. All others of a service share the label `OTHERS`.
+# Maximum combinations of service, priority and organisation that have their own time series (four
+# each). The first ones reported get them; all others of a service share the label `OTHERS`.
 MAX_OWN_SERIES = 128
 
 Labels = tuple[tuple[str, str], ...]
