--- a/saffronworks/forwarding/contents.py
+++ b/saffronworks/forwarding/contents.py
@@ -5,7 +5,7 @@
 
 __all__ = ["ContentId", "content_id"]
 
-# In hexadecimal. It reveals nothing of the body, so logs, messages and the store may contain it.
+# A hexadecimal digest. It reveals nothing of the body, so logs, messages and the store may hold it.
 ContentId = NewType("ContentId", str)
 
 # 128 bits prevent a caller from constructing a request with the digest of another one.
