--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -154,7 +154,7 @@
 
     @property
     def reached(self) -> bool:
-        """Return whether the bound is reached."""
+        """Return whether the high watermark was reached, and since then the low one not passed."""
         return self._bound is not None and self._bound.reached
 
     def track(self, request_id: str, reply: CallerReply) -> TrackedBody:
@@ -162,7 +162,7 @@
         return TrackedBody(self, request_id, reply)
 
     def update(self, answer: TrackedBody) -> None:
-        """Update the count of an answer, and decide if the threshold is reached."""
+        """Update the count of an answer, and decide if the total has reached the next check."""
         if self._bound is None:
             return
         self._count(answer)
@@ -179,7 +179,7 @@
             self._check_needed.set()
 
     async def run(self) -> None:
-        """Check callers periodically while any of them has unread bytes."""
+        """Check callers while the bound is reached, an endpoint paused or an answer unread."""
         while True:
             await self._check_needed.wait()
             await anyio.sleep(BUFFER_CHECK_INTERVAL_MS / 1000)
