--- a/saffronworks/forwarding/answer_buffers.py
+++ b/saffronworks/forwarding/answer_buffers.py
@@ -48,8 +48,9 @@
 
 @attrs.define
 class BufferBound:
-    """The bound over all answers of a node; `reached` is reset at the low watermark.
+    """The bound over all answers of a node.
 
+    `reached` becomes true at the high watermark, and false again below the low one.
     `margin_bytes`, at most half of the bound, stay free for bytes read between two decisions.
     """
 
