--- a/saffronworks/forwarding/connections.py
+++ b/saffronworks/forwarding/connections.py
@@ -136,7 +136,7 @@
         self._incoming.fields.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Accept the head, or discard an answer that belongs to another request."""
+        """Accept the head, or discard an interim answer or one to another request."""
         assert self._parser is not None
         if self._complete:
             return
