--- a/saffronworks/forwarding/directory.py
+++ b/saffronworks/forwarding/directory.py
@@ -57,7 +57,7 @@
 
 @attrs.define
 class _EndedStarts:
-    """The ended starts of a name: those before `born_ms`, and at `lost_address` all not later."""
+    """The ended starts of a name: any before `born_ms`, or not later than it at `lost_address`."""
 
     born_ms: int | None
     lost_address: str | None = None
