--- a/saffronworks/forwarding/identity.py
+++ b/saffronworks/forwarding/identity.py
@@ -26,9 +26,9 @@
 class Authenticator:
     """Authenticates requests by the valid API keys; `organisations` is None if none are needed.
 
-    `is_config_current` returns whether this node's configuration is recent enough. If not, the keys
-    in it are still accepted, but an unknown key can't be rejected, because a newer configuration
-    may contain it: the caller is told to retry, at any node.
+    `is_config_current` returns whether this node's configuration was up to date within the time
+    allowed. If not, the keys in it are still accepted, but an unknown key can't be rejected,
+    because a newer configuration may contain it: the caller is told to retry, at any node.
     """
 
     is_config_current: Callable[[], bool]
