--- a/saffronworks/forwarding/census.py
+++ b/saffronworks/forwarding/census.py
@@ -59,7 +59,7 @@
 
 
 class Census:
-    """Registers this node and lists all nodes periodically; `take` receives them when they change.
+    """Registers this node and lists all nodes; `take` receives them by address at each change.
 
     Entries of dead nodes remain. They only reduce each node's share of the retry slack, and a
     planner that does not answer is skipped. After a restore of the store, which may
