--- a/saffronworks/forwarding/tuning.py
+++ b/saffronworks/forwarding/tuning.py
@@ -134,8 +134,8 @@
 # --- Following the store -----------------------------------------------------------------------
 
 # Longest wait of a watch, if the settings allow it; a lost watch must time out within the time
-# limit for applying a change. Each call has a price: with waits of 2 s and a new watch after every
-# change a node makes 1.5 to 2.5 calls a second.
+# limit for a change (`known_within_ms`). Each call has a price: with waits of 2 s and a new watch
+# after every change a node makes 1.5 to 2.5 calls a second.
 WATCH_WAIT_MAX_MS = 5000
 # Part of that time limit left for the answer (timeout 0.8 s), a new listing and a busy processor.
 WATCH_MARGIN_MS = 1500
