--- a/saffronworks/forwarding/buffered_answers.py
+++ b/saffronworks/forwarding/buffered_answers.py
@@ -38,7 +38,7 @@
         self._read_bytes = 0
 
     def set_preread_bytes(self, preread_bytes: int) -> None:
-        """Record the bytes read from the exchange before the answer begins."""
+        """Record how many bytes were read from the exchange before the answer begins."""
         self._preread_bytes = preread_bytes
         self._update()
 
@@ -116,7 +116,7 @@
         return self._connection is None and not self.counted_bytes
 
     def update_unread(self, now_ms: int) -> None:
-        """Update since when the caller has read nothing."""
+        """Restart `unread_since_ms` if the caller has read more; clear it if no byte is left."""
         read_bytes = self._written_bytes - self.reply.unread_bytes
         if not self.buffered_bytes:
             self.unread_since_ms = None
@@ -154,7 +154,7 @@
 
     @property
     def reached(self) -> bool:
-        """Return whether the bound is reached."""
+        """Return whether the high watermark was reached, and since then the low one not passed."""
         return self._bound is not None and self._bound.reached
 
     def track(self, request_id: str, reply: CallerReply) -> TrackedBody:
@@ -162,7 +162,7 @@
         return TrackedBody(self, request_id, reply)
 
     def update(self, answer: TrackedBody) -> None:
-        """Update the count of an answer, and decide if the threshold is reached."""
+        """Update the count of an answer, and decide if the total has reached the next check."""
         if self._bound is None:
             return
         self._count(answer)
@@ -179,7 +179,7 @@
             self._check_needed.set()
 
     async def run(self) -> None:
-        """Check callers periodically while any of them has unread bytes."""
+        """Check callers while the bound is reached, an endpoint paused or an answer unread."""
         while True:
             await self._check_needed.wait()
             await anyio.sleep(BUFFER_CHECK_INTERVAL_MS / 1000)
