--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -139,7 +139,7 @@
 
 @attrs.frozen
 class EndpointEnded:
-    """To log: an endpoint ended while it ran `contents` contents."""
+    """Log that an endpoint ended while it ran `contents` contents."""
 
     instance: StartId
     contents: int
@@ -148,7 +148,7 @@
 
 @attrs.frozen
 class SuspicionChanged:
-    """To log: the new state of a content that is gossiped."""
+    """Log the new state of a content that is gossiped."""
 
     suspicion: Suspicion
 
