--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -12,7 +12,10 @@
 
 @attrs.frozen
 class Permit:
-    """Permission to send one request; `holder` counted it, None if it is not counted."""
+    """Permission to send one request.
+
+    `ask` is None if the endpoint has no limit, `holder` if no holder counted the request.
+    """
 
     ask: Ask | None = None
     holder: str | None = None
@@ -35,7 +38,7 @@
 
 @attrs.frozen
 class Limited:
-    """Endpoints of a service that have a limit; `backoff_ms` maps those in backoff to its rest."""
+    """Endpoints of a service that have a limit; `backoff_ms`: what is left of their backoffs."""
 
     limited: Set[StartId] = frozenset()
     backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
