--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -4,8 +4,8 @@
 
 # What an endpoint tolerates beyond its limit in any 4 s: half of the limit, and 5 requests.
 LIMIT_TOLERANCE = Tolerance(window_ms=4000, overage=0.5, slack=5.0)
-# Lower limits, also 0, are raised to this rate, since only an answer to a request can show that
-# the limit has ended. The rate is within the tolerance.
+# Lower limits, including 0, are raised to this rate, since only an answer to a request can show
+# that the limit has ended. One request in 4 s is within the tolerance.
 MIN_PER_S = 0.25
 # The end of a limit is retained for this long, so that a late update doesn't restore the limit.
 ENDED_RETENTION_MS = 10_000
@@ -16,7 +16,7 @@
 BACKOFF_FACTOR = 4
 MIN_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 16_000
-# A changed limit goes to GOSSIP_FANOUT neighbours, GOSSIP_REPEATS times, and they pass it on.
+# A changed limit goes to GOSSIP_FANOUT neighbours, GOSSIP_REPEATS times, which forward it.
 GOSSIP_INTERVAL_MS = 100
 GOSSIP_FANOUT = 2
 GOSSIP_REPEATS = 3
