--- a/saffronworks/forwarding/shares/limits.py
+++ b/saffronworks/forwarding/shares/limits.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Limit:
-    """A rate per second and a burst, for all nodes together."""
+    """A rate per second and a burst, of all nodes together or of one holder's share."""
 
     per_s: float
     burst: float
