--- a/saffronworks/forwarding/shares/shared_limit.py
+++ b/saffronworks/forwarding/shares/shared_limit.py
@@ -1,4 +1,4 @@
-"""One limit over all nodes, as one node enforces it: as an entry node and as a holder."""
+"""Enforces limits over all nodes together, at one node as an entry node and as a holder."""
 
 import itertools
 import secrets
