--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -24,7 +24,7 @@
 class Allowances:
     """A credit per subject, which grows up to half of the node's part of one window.
 
-    With 60 nodes such a part is smaller than one generation. A request that costs more than the
+    With 60 nodes such a part is less than one generation costs. A request that costs more than the
     credit is therefore admitted at random, with the probability credit / cost, and the credit is
     spent in either case. On average all isolated nodes stay within their parts, without messages
     to holders.
