--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -13,9 +13,9 @@
 ESTABLISHED_VIEW_MS = 4500
 # A holder answers within 1 to 5 ms, on a busy VM within about 10 ms.
 HOLDER_TIMEOUT_MS = 40
-# Division of the tolerance: for requests that come early or in a burst, for holders that have just
-# started and don't know what ran before, and for nodes that reach no holder. The shares add up to
-# 1, so that the limit holds even if messages are late or lost.
+# Fractions of the tolerance: for requests that come early or in a burst, for holders that have just
+# started and lack the count of earlier requests, and for nodes that reach no holder. They add up to
+# 1, so that the limit holds within its tolerance even if messages are late or lost.
 EARLY_SHARE = 0.4
 NEW_HOLDER_SHARE = 0.3
 NO_HOLDER_SHARE = 0.3
