--- a/saffronworks/forwarding/quotas/service.py
+++ b/saffronworks/forwarding/quotas/service.py
@@ -38,7 +38,7 @@
     holder: str | None = None
 
 
-# For an organisation without a quota.
+# The charge of a request whose organisation has no quota.
 NOT_COUNTED = QuotaCharge()
 
 
@@ -134,7 +134,7 @@
     # Called as a holder.
 
     def _limit_of(self, event: holder.Event) -> Limit | None:
-        """Return the quota by this node's configuration, else the entry node's; None: no limit."""
+        """Return the quota in this node's configuration, else in the ask; None if there is none."""
         table = self._table()
         known = table.find_organisation(event.subject) if table else None
         if known is not None:
