--- a/saffronworks/forwarding/endpoint_limits/messages.py
+++ b/saffronworks/forwarding/endpoint_limits/messages.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class HeardLimit:
-    """An endpoint's limit, None once it has ended, as the sender learned it `age_ms` ago."""
+    """An endpoint's limit as a node observed it `age_ms` ago; `per_s` is None once it has ended."""
 
     endpoint: StartId
     per_s: float | None
