--- a/saffronworks/forwarding/endpoint_limits/backoff.py
+++ b/saffronworks/forwarding/endpoint_limits/backoff.py
@@ -34,7 +34,7 @@
     _backoffs: dict[StartId, _Backoff] = attrs.Factory(dict)
 
     def remaining_ms(self, instance: StartId, now_ms: int) -> int:
-        """Return the rest of an endpoint's backoff; 0 if a permit may be requested."""
+        """Return an endpoint's remaining backoff; 0 if a permit may be requested."""
         known = self._backoffs.get(instance)
         return max(0, known.until_ms - now_ms) if known is not None else 0
 
