--- a/saffronworks/forwarding/endpoint_limits/service.py
+++ b/saffronworks/forwarding/endpoint_limits/service.py
@@ -55,7 +55,7 @@
 
     One limit covers all nodes together and often allows each node less than one request in many
     seconds, so it can't be split into a fixed part per node. Every send to a limited endpoint
-    therefore needs a permit of a share holder. Without limited endpoints nothing is done here.
+    therefore needs a permit of a share holder. Other endpoints need no permit.
     """
 
     name = "endpoint_limits"
@@ -173,7 +173,7 @@
     async def acquire_permit(
         self, endpoint: ServiceEndpoint, request_id: str, calls: int = 1
     ) -> Permit | NoPermit:
-        """Acquire a permit for a request that makes `calls` calls from a holder of the limit."""
+        """Acquire a permit from a holder of the limit for a request that makes `calls` calls."""
         instance, now_ms = endpoint.instance, self._now_ms()
         per_s = self._table.find(instance)
         if per_s is None:
