--- a/saffronworks/forwarding/eligibility/table.py
+++ b/saffronworks/forwarding/eligibility/table.py
@@ -8,8 +8,8 @@
 
 __all__ = ["AdvertisedTable", "Pause"]
 
-# How long the state of an endpoint is kept after its entry is gone. A stale listing, or an entry
-# that expired during an outage of the store, can bring back the same start of the endpoint.
+# How long the state of an endpoint is kept after its store entry is gone. A stale listing, or an
+# entry that expired during an outage of the store, can bring back the same start of the endpoint.
 KEEP_GONE_MS = 60_000
 
 
