--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -96,7 +96,7 @@
         return admission
 
     def blocks(self, request: CallerRequest, on_trial: bool = False) -> bool:
-        """Return whether a request in progress must not be sent again; `on_trial` if it is one."""
+        """Return whether a request must not be sent again; `on_trial`: it runs as a trial."""
         if self._state.idle:
             return False
         admission = self._state.table.admission(request.content, self._now_ms())
@@ -162,7 +162,7 @@
                 _log_suspicion(suspicion)
 
     def _start(self, function: Callable[..., Coroutine[Any, Any, None]], *arguments: Any) -> None:
-        """Start a background task; before the service runs there are no requests to serve."""
+        """Start a background task; no effect before the service runs, as there are no requests."""
         if self._tasks is not None:
             self._tasks.start_soon(function, *arguments)
 
