--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -6,8 +6,9 @@
 # nodes have counted each other, which happens every 5 to 15 s. Otherwise a node that sees only
 # itself would use a whole limit while others use halves and thirds.
 SETTLED_MS = 30_000
-# New holders aren't asked for this long, twice the longest interval at which nodes count each other
-# by answers that may be seconds old. A holder that is down for less than 20 s keeps its share.
+# New holders aren't asked for this long. Nodes count each other every 5 to 15 s, by answers that
+# may be seconds old, so their views may differ for 20 s. Twice that lets a holder that is down for
+# less than 20 s return before its replacement is asked.
 NEW_HOLDER_DELAY_MS = 40_000
 # A view that lasted for less than this is one of the partial counts after a start.
 ESTABLISHED_VIEW_MS = 4500
