--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -2,7 +2,7 @@
 
 `step(state, event, now_ms)` returns commands. An end is the crash or restart of an endpoint. A
 failed run alone doesn't prove an end, as links lose data and answers are cut off. Two refused
-connections do, a restart, or silence of an endpoint that the store no longer lists. Entry nodes
+connections do, and so does a restart or the silence of an endpoint that has left the store. Nodes
 report ends to three owners of a content, chosen by hash, so that an end costs two or three
 messages per run. Owners merge the reports, and nodes gossip contents that are close to quarantine.
 """
