--- a/saffronworks/forwarding/quarantine/suspicions.py
+++ b/saffronworks/forwarding/quarantine/suspicions.py
@@ -2,8 +2,8 @@
 
 The request that crashed an endpoint can't be identified directly: up to 64 runs break at once. So
 the content of each broken run is suspected, and a successful run clears it. A content with three
-ends and no successful run is quarantined. `saffronworks/tests/concurrent_runs.py` counts how many
-innocent contents that quarantines.
+ends and no successful run is quarantined. `saffronworks/tests/concurrent_runs.py` counts the
+innocent contents that are quarantined by this rule.
 """
 
 import enum
