--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -16,12 +16,12 @@
 BACKOFF_FACTOR = 4
 MIN_BACKOFF_MS = 50
 MAX_BACKOFF_MS = 16_000
-# A changed limit goes to GOSSIP_FANOUT neighbours, GOSSIP_REPEATS times, which forward it.
+# A changed limit is sent GOSSIP_REPEATS times to GOSSIP_FANOUT neighbours, which forward it.
 GOSSIP_INTERVAL_MS = 100
 GOSSIP_FANOUT = 2
 GOSSIP_REPEATS = 3
 # A node that starts queries this many peers for limits. Otherwise it would send each limited
-# endpoint a request without a permit before it learned the limit.
+# endpoint a request without a permit before it received the limit.
 PEERS_QUERIED_AT_START = 3
 # At most this many limits, of 0.06 KB each, are in one message.
 MAX_LIMITS_PER_MESSAGE = 64
