--- a/saffronworks/forwarding/eligibility/table.py
+++ b/saffronworks/forwarding/eligibility/table.py
@@ -33,7 +33,7 @@
         return len(self._draining_since_ms) + len(self._pauses)
 
     def draining_since_ms(self, instance: StartId) -> int | None:
-        """Return when this node learned that the endpoint drains, or None if it doesn't."""
+        """Return when the endpoint first advertised its drain to this node, or None."""
         return self._draining_since_ms.get(instance)
 
     def draining(self) -> Set[StartId]:
