--- a/saffronworks/forwarding/quarantine/core.py
+++ b/saffronworks/forwarding/quarantine/core.py
@@ -2,8 +2,8 @@
 
 `step(state, event, now_ms)` returns commands. An end is the crash or restart of an endpoint. A
 failed run alone doesn't prove an end, as links lose data and answers are cut off. Two refused
-connections do, and so does a restart or the silence of an endpoint that has left the store. Nodes
-report ends to three owners of a content, chosen by hash, so that an end costs two or three
+connections do, and so does a restart or the silence of an endpoint that has left the store. Entry
+nodes report ends to three owners of a content, chosen by hash, so that an end costs two or three
 messages per run. Owners merge the reports, and nodes gossip contents that are close to quarantine.
 """
 
@@ -102,7 +102,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is suspected, so that ticks have no effect."""
+        """True if nothing is suspected, so that ticks have no effect."""
         return not len(self.table)
 
     def owners(self, content: ContentId) -> tuple[str, ...]:
