--- a/saffronworks/forwarding/quarantine/events.py
+++ b/saffronworks/forwarding/quarantine/events.py
@@ -42,7 +42,7 @@
 
     @property
     def proves_end(self) -> bool:
-        """Whether a single probe with this result proves that the endpoint has ended."""
+        """True if a single probe with this result proves that the endpoint has ended."""
         return self in (ProbeResult.GONE, ProbeResult.RESTARTED)
 
 
