--- a/saffronworks/forwarding/quarantine/service.py
+++ b/saffronworks/forwarding/quarantine/service.py
@@ -200,7 +200,7 @@
             await anyio.sleep(RECORD_RETRY_S)
 
     async def _read_records(self) -> None:
-        """Load what was quarantined before this node started."""
+        """Load the contents that were quarantined before this node started."""
         for pause_s in RECORD_READ_DELAYS_S:
             await anyio.sleep(pause_s)
             while (records := await self._records.list_all()) is None:
