--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -21,7 +21,7 @@
     holder: str | None = None
 
     def covers(self, instance: StartId) -> bool:
-        """Return whether the permit is valid for this endpoint; an uncounted one is for any."""
+        """Return whether the permit is valid for this endpoint; one without an ask is for any."""
         return self.ask is None or self.ask.subject == instance
 
 
