--- a/saffronworks/forwarding/endpoint_limits/tuning.py
+++ b/saffronworks/forwarding/endpoint_limits/tuning.py
@@ -2,7 +2,7 @@
 
 from saffronworks.forwarding.shares.limits import Tolerance
 
-# What an endpoint tolerates beyond its limit in any 4 s: half of the limit, and 5 requests.
+# In any 4 s an endpoint tolerates half of its limit, and 5 requests, beyond the limit.
 LIMIT_TOLERANCE = Tolerance(window_ms=4000, overage=0.5, slack=5.0)
 # Lower limits, including 0, are raised to this rate, since only an answer to a request can show
 # that the limit has ended. One request in 4 s is within the tolerance.
