--- a/saffronworks/forwarding/shares/buckets.py
+++ b/saffronworks/forwarding/shares/buckets.py
@@ -37,11 +37,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the bucket holds nothing that a new one would lack."""
+        """True if the bucket holds nothing that a new one would lack."""
         return not self.level and not self._counted
 
     def drain(self, now_ms: int) -> None:
-        """Lower the level by the time that has passed, and drop counted asks that are old."""
+        """Lower the level by what has drained since the last call, and drop old counted asks."""
         self.level = max(0.0, self.level - self.per_s * max(0, now_ms - self.at_ms) / 1000)
         self.at_ms = max(self.at_ms, now_ms)
         while self._counted:
