--- a/saffronworks/forwarding/shares/allowances.py
+++ b/saffronworks/forwarding/shares/allowances.py
@@ -22,7 +22,7 @@
 
 @attrs.define
 class Allowances:
-    """A credit per subject, which grows up to half of the node's part of one window.
+    """A credit per subject, up to half of the node's part of the tolerance in a window.
 
     With 60 nodes such a part is less than one generation costs. A request that costs more than the
     credit is therefore admitted at random, with the probability credit / cost, and the credit is
@@ -36,7 +36,7 @@
 
     def admit(self, ask: Ask, now_ms: int) -> bool:
         """Return whether a request may run; the draw is a hash of its id, so it is repeatable."""
-        # Half of the part at once and the other half over a window keep every window within it.
+        # Half of the part at once and the other half over a window keep a window within the part.
         half = NO_HOLDER_SHARE * self.tolerance.spare(ask.limit) / max(1, self.nodes) / 2
         credit = self._credits.setdefault(ask.subject, _Credit(half, now_ms))
         grown = half * max(0, now_ms - credit.at_ms) / self.tolerance.window_ms
