--- a/saffronworks/forwarding/shares/holder.py
+++ b/saffronworks/forwarding/shares/holder.py
@@ -36,7 +36,7 @@
 
 @attrs.define
 class HolderState:
-    """Leaky buckets by subject; `since_ms`: when this node began to count.
+    """Leaky buckets by subject; `since_ms`: when this node began to count all requests.
 
     `stagger_retries`: each refused caller gets a later retry time than the one before.
     """
