--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Limited:
-    """Endpoints of a service that have a limit; `backoff_ms`: what is left of their backoffs."""
+    """Endpoints of a service that have a limit; `backoff_ms`: remaining backoff of some."""
 
     limited: Set[StartId] = frozenset()
     backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
