--- a/saffronworks/forwarding/eligibility/service.py
+++ b/saffronworks/forwarding/eligibility/service.py
@@ -113,7 +113,7 @@
         """Return why a request may not be sent to an endpoint now, or None if it may.
 
         A request with a reservation was admitted by the endpoint before a pause began, so it may
-        be sent within PAUSE_GRACE_MS of that.
+        be sent until PAUSE_GRACE_MS after the pause began.
         """
         listed = self._directory.endpoints.get(endpoint.instance)
         if listed is None:
