--- a/saffronworks/forwarding/quarantine/tuning.py
+++ b/saffronworks/forwarding/quarantine/tuning.py
@@ -37,7 +37,8 @@
 # idle interval until their quarantine ends, for nodes that return after a partition.
 RECENT_CHANGE_MS = 5000
 IDLE_GOSSIP_INTERVAL_MS = 500
-# Most contents, of 0.2 KB each, in one message. Idle nodes send half: at most 3 KB/s per node.
+# At most this many contents, of 0.2 KB each, are in one message. Without recent changes half as
+# many are: at most 3 KB/s per node.
 MAX_SUSPICIONS_PER_MESSAGE = 16
 # A node reads the store's records when it starts, and again for records that were being written at
 # the time. Both are stale reads, which cost the store a tenth of a consistent read.
