--- a/saffronworks/forwarding/shares/limits.py
+++ b/saffronworks/forwarding/shares/limits.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Tolerance:
-    """What is tolerated beyond a limit in any window of `window_ms`, over all nodes together.
+    """The excess over a limit tolerated in any window of `window_ms`, over all nodes together.
 
     It is the fraction `overage` of what the limit allows in the window, plus `slack` in its unit.
     """
