--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -38,7 +38,10 @@
 
 @attrs.frozen
 class Limited:
-    """Endpoints of a service that have a limit; `backoff_ms`: remaining backoff of some."""
+    """Endpoints of a service that have a limit.
+
+    `backoff_ms` has the remaining backoff of those that are in backoff.
+    """
 
     limited: Set[StartId] = frozenset()
     backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
