--- a/saffronworks/forwarding/eligibility/table.py
+++ b/saffronworks/forwarding/eligibility/table.py
@@ -8,8 +8,8 @@
 
 __all__ = ["AdvertisedTable", "Pause"]
 
-# How long the state of an endpoint is kept after its entry is gone. A stale listing, or an entry
-# that expired during an outage of the store, can bring back the same start of the endpoint.
+# How long the state of an endpoint is kept after its store entry is gone. A stale listing, or an
+# entry that expired during an outage of the store, can bring back the same start of the endpoint.
 KEEP_GONE_MS = 60_000
 
 
@@ -33,7 +33,7 @@
         return len(self._draining_since_ms) + len(self._pauses)
 
     def draining_since_ms(self, instance: StartId) -> int | None:
-        """Return when this node learned that the endpoint drains, or None if it doesn't."""
+        """Return when the endpoint first advertised its drain to this node, or None."""
         return self._draining_since_ms.get(instance)
 
     def draining(self) -> Set[StartId]:
--- a/saffronworks/forwarding/endpoint_limits/permits.py
+++ b/saffronworks/forwarding/endpoint_limits/permits.py
@@ -12,13 +12,16 @@
 
 @attrs.frozen
 class Permit:
-    """Permission to send one request; `holder` counted it, None if it is not counted."""
+    """Permission to send one request.
+
+    `ask` is None if the endpoint has no limit, `holder` if no holder counted the request.
+    """
 
     ask: Ask | None = None
     holder: str | None = None
 
     def covers(self, instance: StartId) -> bool:
-        """Return whether the permit is valid for this endpoint; an uncounted one is for any."""
+        """Return whether the permit is valid for this endpoint; one without an ask is for any."""
         return self.ask is None or self.ask.subject == instance
 
 
@@ -35,7 +38,10 @@
 
 @attrs.frozen
 class Limited:
-    """Endpoints of a service that have a limit; `backoff_ms` maps those in backoff to its rest."""
+    """Endpoints of a service that have a limit.
+
+    `backoff_ms` has the remaining backoff of those that are in backoff.
+    """
 
     limited: Set[StartId] = frozenset()
     backoff_ms: Mapping[StartId, int] = attrs.Factory(dict)
--- a/saffronworks/forwarding/shares/limits.py
+++ b/saffronworks/forwarding/shares/limits.py
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Limit:
-    """A rate per second and a burst, for all nodes together."""
+    """A rate per second and a burst, of all nodes together or of one holder's share."""
 
     per_s: float
     burst: float
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Tolerance:
-    """What is tolerated beyond a limit in any window of `window_ms`, over all nodes together.
+    """The excess over a limit tolerated in any window of `window_ms`, over all nodes together.
 
     It is the fraction `overage` of what the limit allows in the window, plus `slack` in its unit.
     """
--- a/saffronworks/forwarding/shares/tuning.py
+++ b/saffronworks/forwarding/shares/tuning.py
@@ -6,16 +6,17 @@
 # nodes have counted each other, which happens every 5 to 15 s. Otherwise a node that sees only
 # itself would use a whole limit while others use halves and thirds.
 SETTLED_MS = 30_000
-# New holders aren't asked for this long, twice the longest interval at which nodes count each other
-# by answers that may be seconds old. A holder that is down for less than 20 s keeps its share.
+# New holders aren't asked for this long. Nodes count each other every 5 to 15 s, by answers that
+# may be seconds old, so their views may differ for 20 s. Twice that lets a holder that is down for
+# less than 20 s return before its replacement is asked.
 NEW_HOLDER_DELAY_MS = 40_000
 # A view that lasted for less than this is one of the partial counts after a start.
 ESTABLISHED_VIEW_MS = 4500
 # A holder answers within 1 to 5 ms, on a busy VM within about 10 ms.
 HOLDER_TIMEOUT_MS = 40
-# Division of the tolerance: for requests that come early or in a burst, for holders that have just
-# started and don't know what ran before, and for nodes that reach no holder. The shares add up to
-# 1, so that the limit holds even if messages are late or lost.
+# Fractions of the tolerance: for requests that come early or in a burst, for holders that have just
+# started and lack the count of earlier requests, and for nodes that reach no holder. They add up to
+# 1, so that the limit holds within its tolerance even if messages are late or lost.
 EARLY_SHARE = 0.4
 NEW_HOLDER_SHARE = 0.3
 NO_HOLDER_SHARE = 0.3
