--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -50,10 +50,11 @@
 RESUMES_PER_ATTEMPT = 2
 MAX_ATTEMPTS = 6
 MAX_BACKOFF_DOUBLINGS = 3
-# The owner withdraws an expired KV result itself; the entry node allows for its message to arrive.
+# The owner withdraws an expired KV cache itself. The entry node waits this long after expiry for
+# the owner's message before it retries on its own.
 KV_GRACE_MS = 100
-# The entry node times a stalled transfer out first; the engine's own limit applies when the entry
-# node is unable to.
+# The entry node times out a stalled transfer. The engine's own limit is this much longer, and
+# applies only when the entry node is unable to act.
 IMPORT_GRACE_MS = 500
 
 
@@ -106,7 +107,7 @@
 
     @property
     def next_due_ms(self) -> int | None:
-        """The deadline of the next token; None while the stream is intact.
+        """The deadline of the next token; None after the first token, unless the stream broke.
 
         A stream that lost its engine gets as much time as a new request. The original deadline was
         met by the first token, and without any deadline the request would wait forever when no
@@ -124,7 +125,7 @@
 
 
 def step(request: Request, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event; events of an older attempt or of a finished request are ignored."""
+    """Apply one event and return commands; ignore events of old attempts or finished requests."""
     if request.phase is Phase.FINISHED:
         return []
     if getattr(event, "attempt", request.attempt) != request.attempt:
@@ -150,7 +151,7 @@
 
 
 def _handle_lease_loss(request: Request, now_ms: int) -> list[Command]:
-    """Retry a request whose grant is void; the engine reports the cancellation of a stream."""
+    """Retry unless a decode was started; its engine reports the cancellation of the stream."""
     match request.phase:
         case Phase.WAITING:
             return _retry(request, now_ms, (), "lease lost", executed=False)
@@ -244,7 +245,8 @@
             return _end(request, Completed())
         case DecodeEnded():
             # A larger total means that tokens are missing, and the engine can resume. A smaller
-            # total, or none, contradicts the tokens already delivered: the end isn't trusted.
+            # total contradicts the delivered tokens, and without a total the end can't be checked:
+            # the attempt counts as failed.
             more = event.total is not None and event.total > request.delivered
             failure = "gap" if more else "wrong end"
             return _handle_broken_stream(
@@ -277,7 +279,8 @@
         return [ResumeDecode(request.attempt, request.decode_endpoint, request.delivered)]
     failed: tuple[str, ...] = (request.decode_endpoint,)
     if request.phase is Phase.TRANSFERRING:
-        # Either side of the transfer may have failed; later successes clear the healthy one.
+        # Either endpoint of the transfer may be at fault, so both are reported as failed; later
+        # successes clear the healthy one.
         failed = (request.decode_endpoint, request.prefill_endpoint)
     return _retry(request, now_ms, failed, event.failure, executed=True)
 
@@ -285,7 +288,10 @@
 def _retry(
     request: Request, now_ms: int, failed: tuple[str, ...], failure: str, executed: bool
 ) -> list[Command]:
-    """Abandon the attempt and start another, unless an unrepeatable request may have run."""
+    """Abandon the attempt and start another.
+
+    The request ends instead if attempts or time are used up, or an unrepeatable one may have run.
+    """
     commands: list[Command] = _release_attempt(request, failed, failure)
     request.failed_endpoints = tuple({*request.failed_endpoints, *failed})
     too_many = request.attempt >= MAX_ATTEMPTS
@@ -345,7 +351,7 @@
 
 
 def due_ms(request: Request) -> int:
-    """The time at which the request next needs a `Tick`; an earlier one changes nothing."""
+    """The time at which the request next needs a `Tick`; an earlier one returns no commands."""
     match request.phase:
         case Phase.WAITING:
             due = _resend_due_ms(request)
