--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -60,7 +60,7 @@
 
 
 def claim_key(organisation: str, idempotency_key: str) -> str:
-    """The key of a claim, hashed with the organisation: equal keys of two don't conflict."""
+    """The key of a claim, hashed with the organisation: two organisations may use equal keys."""
     text = f"{organisation}\n{idempotency_key}"
     return f"{hash64(text):016x}{hash64(text[::-1]):016x}"
 
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class WriteConflict:
-    """Another owner wrote first: the version has changed."""
+    """Another write was applied first, so the shard's version has changed."""
 
 
 @attrs.frozen
@@ -160,7 +160,10 @@
 
 @attrs.frozen
 class Write:
-    """Write the shard if its version is `expected`; answered by one of the `Write` events."""
+    """Write the shard if its version is `expected`.
+
+    Answered by `WriteDone`, `WriteConflict`, `WriteLost` or `Unavailable`.
+    """
 
     expected: int
     records: dict[str, ClaimRecord]
@@ -208,7 +211,7 @@
 
 
 def step(state: ClaimShard, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event."""
+    """Apply one event and return the commands to execute."""
     commands: list[Command] = []
     match event:
         case ClaimRequested():
@@ -305,7 +308,7 @@
 
 
 def _back_off(state: ClaimShard, now_ms: int) -> list[Command]:
-    """Schedule another read with backoff; after `MAX_TRIES` fail all pending claims."""
+    """Schedule another read with backoff; from `MAX_TRIES` failures on, fail all pending claims."""
     state.reading, state.writing, state.version = False, None, None
     state.tries += 1
     state.next_try_ms = now_ms + FIRST_BACKOFF_MS * 2 ** min(state.tries, MAX_TRIES)
@@ -317,8 +320,8 @@
 def _fail_pending(state: ClaimShard, now_ms: int, waited_ms: int) -> list[Command]:
     """Fail the claims that have been pending for at least `waited_ms`.
 
-    Claims that a write has stored stay: another owner may have granted them meanwhile, so only the
-    requesting node can confirm that a request did not run.
+    Claims already written to the store are kept: another owner may have granted them meanwhile, so
+    only the requesting node can confirm that a request did not run.
     """
     late = [pair for pair, (_, at_ms) in state.pending.items() if now_ms - at_ms >= waited_ms]
     return [_answer(state, pair, Unrecorded()) for pair in late]
