--- a/saffronworks/claim_service.py
+++ b/saffronworks/claim_service.py
@@ -78,7 +78,7 @@
         self._send(key, ClaimSettle(key, request_id))
 
     async def run(self, kernel: Kernel, mailbox: Mailbox) -> None:
-        """Handle messages and drive the busy shards until cancelled."""
+        """Handle messages and send ticks to the shards with pending work until cancelled."""
         self._kernel = kernel
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._tick, kernel, tasks)
