--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -42,7 +42,7 @@
 
 
 class Status(enum.StrEnum):
-    """Status of a member in this node's view; `LEAVING` ones serve, but become no new owners."""
+    """Status of a member in this node's view; a `LEAVING` member serves but gains no ownership."""
 
     LISTED = "listed"
     ALIVE = "alive"
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class VmRecord:
-    """One VM in the platform's list: that of an entry node, or that of an endpoint."""
+    """One VM in the platform's list; it runs an entry node or an endpoint."""
 
     name: str
     address: str
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Sent to each ring neighbour every period; `digest` covers the sender's documents."""
+    """Sent to ring neighbours and a few other members; `digest` covers the sender's documents."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -98,7 +98,7 @@
 
 @attrs.frozen
 class HeartbeatReply:
-    """The reply to a heartbeat; carries the whole member table to a node that just joined."""
+    """The reply to a heartbeat; a node that just joined gets up to `SYNC_MEMBERS` updates."""
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
@@ -183,7 +183,7 @@
 
 
 def step(state: Membership, event: Event, now_ms: int) -> list[Command]:
-    """Apply one event."""
+    """Apply one event and return the commands to execute."""
     match event:
         case Listed():
             return _apply_list(state, event, now_ms)
@@ -254,7 +254,10 @@
 
 
 def _gossip_update(state: Membership, update: MemberUpdate) -> list[Command]:
-    """Send an update to a few random members; heartbeats alone pass it on one ring hop a period."""
+    """Send an update to a few random members, as heartbeats alone would spread it slowly.
+
+    Ring heartbeats pass an update on by one hop per period.
+    """
     others = [
         member.update.address
         for member in state.members.values()
@@ -298,10 +301,10 @@
 
 
 def _extended_timeout_ms(state: Membership, usual_ms: int) -> float:
-    """A timeout extended up to twofold while replies are late on average.
+    """Return the timeout, extended up to twofold while replies are late on average.
 
-    Late replies from all members indicate that this node itself is slow. Replies within
-    `USUAL_REPLY_SHARE` of the heartbeat period extend nothing.
+    Late replies from all members indicate that this node itself is slow. An average reply
+    time within `USUAL_REPLY_SHARE` of the heartbeat period does not extend the timeout.
     """
     late_ms = max(0.0, state.reply_ms.value - USUAL_REPLY_SHARE * state.heartbeat_ms)
     return usual_ms + min(float(usual_ms), LATE_REPLY_FACTOR * late_ms)
