--- a/saffronworks/ownership.py
+++ b/saffronworks/ownership.py
@@ -28,7 +28,10 @@
 
 
 def split_pool(bundle: Bundle, pool: Pool) -> list[Cell]:
-    """Split a pool into cells of about `CELL_ENDPOINTS`, with roles in the pool's proportion."""
+    """Split a pool into cells of about `CELL_ENDPOINTS`, with roles in the pool's proportion.
+
+    Cells are larger if some role has too few endpoints for each cell to get one.
+    """
     models = tuple(model for model in bundle.models if model.pool == pool.name)
     by_role = {
         role: sorted((e for e in pool.endpoints if e.role is role), key=lambda e: (e.zone, e.name))
