--- a/saffronworks/runners.py
+++ b/saffronworks/runners.py
@@ -162,7 +162,7 @@
                 self._cancel(command)
 
     def _cancel(self, command: request_events.CancelAt) -> None:
-        """Queue a cancel order; an endpoint unknown to this node was never sent any work."""
+        """Queue a cancel order; skip an unknown endpoint, which was never sent any work."""
         endpoint = self._endpoints.get(command.endpoint)
         if endpoint is not None:
             key = RequestKey(self.request.request_id, command.attempt)
