--- a/saffronworks/fences.py
+++ b/saffronworks/fences.py
@@ -26,7 +26,7 @@
         self._store = store
 
     async def acquire(self, cell: str) -> Result[int, str]:
-        """Acquire a token above all earlier ones, or the error; a lost reply wastes one."""
+        """Return a token higher than all earlier ones, or an error; a lost reply wastes a token."""
         expected = 0
         for _ in range(MAX_TRIES):
             reply = await self._store.put(FENCE_PREFIX + cell, self._node, expected)
