--- a/saffronworks/requests.py
+++ b/saffronworks/requests.py
@@ -151,7 +151,7 @@
 
 
 def _handle_lease_loss(request: Request, now_ms: int) -> list[Command]:
-    """Retry unless a decode was started; its engine reports the cancellation of the stream."""
+    """Retry, as the grant is void; a started decode's engine reports its cancellation instead."""
     match request.phase:
         case Phase.WAITING:
             return _retry(request, now_ms, (), "lease lost", executed=False)
