--- a/saffronworks/membership.py
+++ b/saffronworks/membership.py
@@ -88,7 +88,10 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Sent to ring neighbours and a few other members; `digest` covers the sender's documents."""
+    """Sent each period to ring neighbours and some others, and to random members with an update.
+
+    `digest` covers the sender's documents.
+    """
 
     sender: MemberUpdate
     updates: tuple[MemberUpdate, ...]
