--- a/saffronworks/claims.py
+++ b/saffronworks/claims.py
@@ -1,7 +1,7 @@
 """Claims on `Idempotency-Key`s: at most one request runs for each key, across all nodes.
 
 Claims are stored in `SHARDS` objects of the store. The owner of a shard, a node chosen by hash,
-writes all pending claims in one conditional update, at most every `WRITE_INTERVAL_MS`, which
+writes the pending claims in one conditional update, at most every `WRITE_INTERVAL_MS`, which
 bounds the write rate of the whole fleet. The store alone decides: two nodes that both act as owner
 for a moment cause write conflicts, and never grant a key twice. This module is the state machine
 of one shard at its owner, free of I/O; `now_ms` is wall-clock time, since claims outlive the nodes
